--- a/decisions/src/main/java/yewpath/Logic.java
+++ b/decisions/src/main/java/yewpath/DeliveryPolicy.java
@@ -19,12 +19,12 @@
 import java.util.zip.CRC32;
 
 /**
- * Every decision of one relay. A caller hands in what happened (the clock by {@link #at}, then the public
- * methods below) and closes each round with {@link #turn}; what is to be done is asked of {@link Egress},
- * the interface; {@link Settings} is what the relay is told. No threads. Envelopes, endpoints and all else
+ * Every decision of one relay. A caller hands in what happened (the clock by {@link #setTime}, then the public
+ * methods below) and closes each round with {@link #completeRound}; what is to be done is asked of {@link PolicyActions},
+ * the interface; {@link PolicySettings} is what the relay is told. No threads. Envelopes, endpoints and all else
  * named are small indices of the caller's. docs/design.md explains the mechanism and each exception.
  */
-public final class Logic {
+public final class DeliveryPolicy {
     private static final int UP = 0, GONE = 2, NO_CAP = 1 << 20, CROWDED_RUN = 4, CHOICE = 8;
     private static final long MS = 1_000, SECOND = 1_000_000, NEVER = Long.MAX_VALUE / 4;
 
@@ -122,7 +122,7 @@
         }
     }
 
-    private final Egress out;
+    private final PolicyActions out;
     private final long seed, began;
     private final Count askedInAll = new Count();
     private long now, drawn, turns, ordered, callOffAt, renewUntil, wholeLists, alarmAt = NEVER;
@@ -141,7 +141,7 @@
 
     // ---- Settings to figures
 
-    private final Settings.Offering[] offerings;
+    private final PolicySettings.MessageClass[] offerings;
     private final boolean[] apart;
     private final int[] bundles;
     private final int slots, cap, sickCap, shotLimit, fillMark, relays, zone;
@@ -150,46 +150,48 @@
     private final double crossing, pricedCut, lone, rateDoubt, coldFrom, coldMultiple;
     private final long pauseLimit, coldFor, fallFor, settle, askAgain, idleFor, connectFor;
 
-    public Logic(Settings s, long seed, Egress out, long now) {
+    public DeliveryPolicy(PolicySettings s, long seed, PolicyActions out, long now) {
         this.out = out;
         this.seed = seed;
         this.now = began = now;
-        offerings = s.offerings.clone();
-        apart = s.routesApart.clone();
-        bundles = s.bundle.clone();
+        offerings = s.messageClasses.clone();
+        apart = s.limitPerEndpoint.clone();
+        bundles = s.maxBatchSize.clone();
         kindCrowdedAt = new long[max(1, apart.length)];
         Arrays.fill(kindCrowdedAt, -NEVER);
-        slots = max(1, s.slots);
-        lone = Arrays.stream(offerings).mapToDouble(o -> ALONE * SECOND / o.expiry()).max().orElse(0);
+        slots = max(1, s.maxConcurrentCalls);
+        lone = Arrays.stream(offerings).mapToDouble(o -> ALONE * SECOND / o.timeToLiveMicros()).max()
+            .orElse(0);
         cap = max(1, (int) (START * slots));
         sickCap = max(1, slots / 2);
-        shotLimit = s.shotLimit > 0 ? s.shotLimit : Integer.MAX_VALUE;
-        fillMark = s.holdLimit > 0 ? max(1, s.holdLimit - max(1, s.holdLimit / 16)) : Integer.MAX_VALUE;
-        relays = max(1, s.relays);
-        halving = s.halving;
+        shotLimit = s.maxAttempts > 0 ? s.maxAttempts : Integer.MAX_VALUE;
+        fillMark = s.maxOpenMessages > 0 ? max(1, s.maxOpenMessages - max(1, s.maxOpenMessages / 16))
+            : Integer.MAX_VALUE;
+        relays = max(1, s.relayCount);
+        halving = s.lateRevenueHalves;
         zone = s.zone;
-        crossing = s.crossingPrice;
+        crossing = s.crossZonePrice;
         // The dearer a refusal, the deeper the cut: a tenth of a message's worth halves the pace.
         pricedCut = max(0.5, PACE_DOWN - 3.5 * s.refusalPrice);
-        fees = s.fees.clone();
-        ratesListed = s.listTellsRate;
-        rateDoubt = s.rateIsRough || !ratesListed ? 1 / 1.5 : 1;
-        coldFrom = s.coldFrom > 0 ? s.coldFrom : 0.2;
-        coldFor = s.coldFor > 0 ? s.coldFor : 15 * SECOND;
-        coldMultiple = 0.425 * (s.fallMultiple > 0 ? s.fallMultiple : 2);
-        fallFor = s.fallFor > 0 ? s.fallFor : 3 * SECOND;
-        settle = s.settleAfterDoubt;
-        pauseLimit = s.pauseLimit;
-        mayCancel = s.mayCancel;
-        connectFor = s.connectTimeout > 0 ? s.connectTimeout - s.connectTimeout / 8 : NEVER;
-        idleFor = s.connectionIdle > 0 ? s.connectionIdle : NEVER;
-        askAgain = s.askEvery > 0 ? min(SECOND, s.askEvery / 8) : SECOND;
-        if (s.listAsked) {
+        fees = s.zoneFees.clone();
+        ratesListed = s.listReportsRate;
+        rateDoubt = s.listedRateIsApproximate || !ratesListed ? 1 / 1.5 : 1;
+        coldFrom = s.warmUpInitialShare > 0 ? s.warmUpInitialShare : 0.2;
+        coldFor = s.warmUpMicros > 0 ? s.warmUpMicros : 15 * SECOND;
+        coldMultiple = 0.425 * (s.collapseMultiple > 0 ? s.collapseMultiple : 2);
+        fallFor = s.collapseWindowMicros > 0 ? s.collapseWindowMicros : 3 * SECOND;
+        settle = s.settleAfterUncertainMicros;
+        pauseLimit = s.maxRetryAfterMicros;
+        mayCancel = s.cancelAllowed;
+        connectFor = s.connectTimeoutMicros > 0 ? s.connectTimeoutMicros - s.connectTimeoutMicros / 8 : NEVER;
+        idleFor = s.idleConnectionTimeoutMicros > 0 ? s.idleConnectionTimeoutMicros : NEVER;
+        askAgain = s.listRequestIntervalMicros > 0 ? min(SECOND, s.listRequestIntervalMicros / 8) : SECOND;
+        if (s.listOnRequest) {
             askBy(now);
         }
     }
 
-    public void at(long clock) {
+    public void setTime(long clock) {
         now = clock;
     }
 
@@ -207,17 +209,18 @@
     // ---- Hold
 
     /** Shots and doubt are those of an earlier life of this relay: none, -1 and 0 for a new envelope. */
-    public void taken(int id, int offering, int tenant, int key, int destination, long expiry, int shots,
+    public void messageAccepted(int id, int offering, int tenant, int key, int destination, long expiry,
+        int shots,
         long doubtSince, int doubtZone) {
         if (id >= envelopes.length) {
             envelopes = Arrays.copyOf(envelopes, id * 2);
         }
         Envelope e = envelopes[id] = new Envelope();
-        Settings.Offering o = offerings[offering];
+        PolicySettings.MessageClass o = offerings[offering];
         e.id = id;
         e.offering = offering;
         e.expiry = expiry;
-        e.agreedAt = expiry - o.expiry() + o.agreed();
+        e.agreedAt = expiry - o.timeToLiveMicros() + o.onTimeMicros();
         e.to = destinations.computeIfAbsent(destination, i -> new Destination());
         e.to.asked.by(now, 1);
         askedInAll.by(now, 1);
@@ -265,10 +268,10 @@
     }
 
     private double worth(Envelope e, long at) {
-        Settings.Offering o = offerings[e.offering];
+        PolicySettings.MessageClass o = offerings[e.offering];
         double lateBy = max(0, at - e.agreedAt);
-        double part = halving ? max(o.lateRevenue(), Math.pow(0.5, lateBy / max(1, o.agreed())))
-            : 1 - (1 - o.lateRevenue()) * lateBy / max(1, e.expiry - e.agreedAt);
+        double part = halving ? max(o.lateRevenueShare(), Math.pow(0.5, lateBy / max(1, o.onTimeMicros())))
+            : 1 - (1 - o.lateRevenueShare()) * lateBy / max(1, e.expiry - e.agreedAt);
         return at >= e.expiry ? 0 : o.revenue() * part;
     }
 
@@ -313,7 +316,7 @@
             least = e == null || more ? least : e;
         }
         if (least != null) {
-            finish(least, isSick(most) ? max(SECOND, pauseLimit) : awayFor());
+            finish(least, isSick(most) ? max(SECOND, pauseLimit) : resubmitDelayMicros());
         }
     }
 
@@ -352,12 +355,13 @@
 
     /** The one place that answers: a deferral promises that nothing ran, or that a repeat is known. */
     private void finish(Envelope e, long pause) {
-        Settings.Offering o = offerings[e.offering];
+        PolicySettings.MessageClass o = offerings[e.offering];
         close(e);
-        if (mayRepeat(e) && (e.doubtSince < 0 || o.kind() == Settings.Kind.REPEATABLE || !o.oneZone())) {
-            out.defer(e.id, pause);
+        if (mayRepeat(e) && (e.doubtSince < 0 || o.semantics() == PolicySettings.DeliverySemantics.IDEMPOTENT
+            || !o.deduplicatedPerZone())) {
+            out.reject(e.id, pause);
         } else {
-            out.abort(e.id);
+            out.fail(e.id);
         }
         advance(e);
     }
@@ -393,21 +397,22 @@
     }
 
     /** Keys of which something is kept. */
-    public int keysKnown() {
+    public int trackedKeyCount() {
         return keyLines.size();
     }
 
     private boolean mayRepeat(Envelope e) {
-        Settings.Offering o = offerings[e.offering];
-        return e.doubtSince < 0 || o.kind() == Settings.Kind.REPEATABLE
-            || o.kind() == Settings.Kind.TAGGED && now < e.doubtSince + o.memory();
+        PolicySettings.MessageClass o = offerings[e.offering];
+        return e.doubtSince < 0 || o.semantics() == PolicySettings.DeliverySemantics.IDEMPOTENT
+            || o.semantics() == PolicySettings.DeliverySemantics.DEDUPLICATED
+                && now < e.doubtSince + o.deduplicationMicros();
     }
 
-    public long awayFor() {
+    public long resubmitDelayMicros() {
         return SECOND;
     }
 
-    public void withdrawn(int id) {
+    public void messageWithdrawn(int id) {
         close(envelopes[id]);
         advance(envelopes[id]);
     }
@@ -504,11 +509,11 @@
     }
 
     private boolean onceOnly(Envelope e) {
-        return offerings[e.offering].kind() == Settings.Kind.ONCE_ONLY;
+        return offerings[e.offering].semantics() == PolicySettings.DeliverySemantics.AT_MOST_ONCE;
     }
 
     private boolean knowsRepeat(Endpoint target, Envelope e) {
-        return e.doubtSince < 0 || !offerings[e.offering].oneZone() || target.zone == e.doubtZone;
+        return e.doubtSince < 0 || !offerings[e.offering].deduplicatedPerZone() || target.zone == e.doubtZone;
     }
 
     // ---- Pace
@@ -602,20 +607,22 @@
         // Guards against connections that the other side closed unseen: a reset at once on a kept one tells
         // nothing of health, and where these are not rare, new connections cost less. Not every caller can
         // tell a kept connection from a new one, so the time tells: a round trip, well under an answer's.
-        boolean inVain = (outcome == Egress.STALE || outcome == Egress.BROKEN) && elapsed < target.lat / 2;
+        boolean inVain = (outcome == PolicyActions.STALE_CONNECTION
+            || outcome == PolicyActions.CONNECTION_LOST) && elapsed < target.lat / 2;
         stale += inVain ? 0.06 * (1 - stale) : 0;
-        if (inVain || outcome == Egress.CANCELLED || outcome == Egress.MOOT) {
+        if (inVain || outcome == PolicyActions.CANCELLED || outcome == PolicyActions.NOT_EXECUTED) {
             return;
         }
-        if (outcome == Egress.FULFILLED || outcome == Egress.FULL) {
+        if (outcome == PolicyActions.DELIVERED || outcome == PolicyActions.OVERLOADED) {
             target.lastAnswer = now;
-            target.credit = min(CREDIT_MOST, target.credit + (outcome == Egress.FULL ? 1 : CREDIT_GAIN));
+            target.credit = min(CREDIT_MOST,
+                target.credit + (outcome == PolicyActions.OVERLOADED ? 1 : CREDIT_GAIN));
         }
-        if (outcome == Egress.FULL) {
+        if (outcome == PolicyActions.OVERLOADED) {
             target.trialAt = max(target.trialAt, target.route.waitUntil);
             return;
         }
-        if (outcome == Egress.FULFILLED) {
+        if (outcome == PolicyActions.DELIVERED) {
             Route r = target.route;
             r.fulls /= 2;
             // Raised by answers, not by time: where many relays send little each, a raise a tick outran cuts.
@@ -627,7 +634,7 @@
                 target.crowdedAt = now;
             }
             boolean alone = target.badRun == 1 && elapsed < 2 * target.lat;
-            lost += 0.03 * ((alone && target.lastBad == Egress.TIMEOUT ? 1 : 0) - lost);
+            lost += 0.03 * ((alone && target.lastBad == PolicyActions.TIMEOUT ? 1 : 0) - lost);
             stale *= 0.97;
             renewUntil = max(lost, stale) > 2 * LOSSY ? now + RENEW_FOR : renewUntil;
             target.badRun = 0;
@@ -648,13 +655,14 @@
             well(target);
             return;
         }
-        target.lastAnswer = outcome == Egress.ERROR || outcome >= Egress.BROKEN ? now : target.lastAnswer;
+        target.lastAnswer = outcome == PolicyActions.ERROR || outcome >= PolicyActions.CONNECTION_LOST ? now
+            : target.lastAnswer;
         target.badRun++;
         target.lastBad = outcome;
-        if (outcome == Egress.TIMEOUT && target.badRun > 1) {
+        if (outcome == PolicyActions.TIMEOUT && target.badRun > 1) {
             target.lat = max(target.lat, min(elapsed, 2 * target.lat));
         }
-        boolean ran = outcome != Egress.UNREACHED, turnedAway = !ran && elapsed < connectFor;
+        boolean ran = outcome != PolicyActions.UNREACHABLE, turnedAway = !ran && elapsed < connectFor;
         int run = Arrays.stream(call.to.endpoints)
             .mapToInt(i -> i.phase == UP && i.route == target.route ? i.badRun : 0).sum();
         long pause = (long) pauseAfter(sizeOf(target.route) / max(1, target.route.members), run + 1);
@@ -694,7 +702,7 @@
 
     private void sicken(Endpoint target, boolean ran) {
         if (target.sickSince < 0) {
-            out.health(target.id, false);
+            out.endpointHealthChanged(target.id, false);
         }
         target.sickSince = now;
         target.backSince = -1;
@@ -713,7 +721,7 @@
 
     private void well(Endpoint target) {
         if (target.sickSince >= 0) {
-            out.health(target.id, true);
+            out.endpointHealthChanged(target.id, true);
         }
         target.sickSince = -1;
     }
@@ -815,7 +823,7 @@
             double hopeless = max(HOPELESS, 4 * call.endpoint.lat);
             if (now - call.sentAt > (call.endpoint.sickSince >= 0 ? 1 : 2) * hopeless && wanted-- > 0) {
                 call.carried.stream().filter(e -> e.call == call && !call.calledOff)
-                    .forEach(e -> out.cancel(e.id, e.shots - 1));
+                    .forEach(e -> out.cancelAttempt(e.id, e.shots - 1));
                 call.calledOff = true;
             }
         }
@@ -826,7 +834,8 @@
     }
 
     private void afterShot(Envelope e, Call call, int outcome) {
-        boolean neverRan = outcome == Egress.FULL || outcome == Egress.UNREACHED || outcome == Egress.MOOT;
+        boolean neverRan = outcome == PolicyActions.OVERLOADED || outcome == PolicyActions.UNREACHABLE
+            || outcome == PolicyActions.NOT_EXECUTED;
         doubt(e, neverRan ? -1 : call.sentAt, call.endpoint.zone);
         if (mayShoot(e)) {
             hold(e, true);
@@ -836,12 +845,13 @@
     }
 
     private void doubt(Envelope e, long since, int zone) {
-        Settings.Offering o = offerings[e.offering];
+        PolicySettings.MessageClass o = offerings[e.offering];
         if (since >= 0 && e.doubtSince < 0) {
             e.doubtSince = since;
             e.doubtZone = zone;
-            if (o.kind() == Settings.Kind.TAGGED && e.doubtSince + o.memory() - GIVE_UP_AHEAD < e.giveUpAt) {
-                e.giveUpAt = e.doubtSince + o.memory() - GIVE_UP_AHEAD;
+            if (o.semantics() == PolicySettings.DeliverySemantics.DEDUPLICATED
+                && e.doubtSince + o.deduplicationMicros() - GIVE_UP_AHEAD < e.giveUpAt) {
+                e.giveUpAt = e.doubtSince + o.deduplicationMicros() - GIVE_UP_AHEAD;
                 later(e.giveUpAt, () -> giveUp(e));
             }
         }
@@ -853,7 +863,8 @@
 
     // ---- Answers
 
-    public void settled(int id, boolean over, int shot, int endpoint, int outcome, long wait, long elapsed,
+    public void attemptEnded(int id, boolean over, int shot, int endpoint, int outcome, long wait,
+        long elapsed,
         double left, double limit) {
         Envelope e = envelopes[id];
         Call call = e == null ? null : e.call;
@@ -870,17 +881,17 @@
             target.calls--;
             callsOut.remove(call);
         }
-        if (target.calls == 0 && outcome != Egress.UNREACHED && outcome != Egress.MOOT
+        if (target.calls == 0 && outcome != PolicyActions.UNREACHABLE && outcome != PolicyActions.NOT_EXECUTED
             && (now - kindCrowdedAt[target.kind] < CROWDED_FOR
                 || target.gap > idleFor && d.held == 0 && e.line == null)) {
             // Guards against idle connections of many relays filling a table, also before any connect failed:
             // one that would hardly be used again before it closes by itself only keeps others out. Tables of
             // one kind are alike, and a relay with an idle one never meets the failure that it causes.
-            out.close(target.id);
+            out.closeIdleConnections(target.id);
         }
         r.told = limit > 0 && r.told > 0 ? r.told + 0.2 * (limit - r.told) : limit >= 0 ? limit : r.told;
         r.left = left >= 0 ? left : r.left;
-        if (outcome == Egress.FULL) {
+        if (outcome == PolicyActions.OVERLOADED) {
             if (!call.learnt) {
                 refused(r, call, wait);
             }
@@ -895,7 +906,8 @@
             listen(target);
         }
         rouse(d);
-        boolean mayRun = outcome == Egress.TIMEOUT || outcome >= Egress.BROKEN && outcome != Egress.MOOT;
+        boolean mayRun = outcome == PolicyActions.TIMEOUT
+            || outcome >= PolicyActions.CONNECTION_LOST && outcome != PolicyActions.NOT_EXECUTED;
         if (e.line != null && mayRun) {
             e.line.restUntil = max(e.line.restUntil, now + settle);
         }
@@ -915,20 +927,21 @@
         askAt = at;
         later(at, () -> {
             if (askAt == at) {
-                out.list(true);
+                out.requestEndpointList(true);
                 askBy(now + 3 * SECOND);
             }
         });
     }
 
-    public void listBegins(boolean whole, boolean cached) {
+    public void endpointListStarted(boolean whole, boolean cached) {
         listWhole = whole;
         askAt = cached ? askAt : NEVER;
         askBackoff = cached ? askBackoff : 0;
         wholeLists += whole ? 1 : 0;
     }
 
-    public void listed(int id, int zone, int kind, int destination, int phase, double rate, long since) {
+    public void endpointListed(int id, int zone, int kind, int destination, int phase, double rate,
+        long since) {
         Destination d = destinations.computeIfAbsent(destination, i -> new Destination());
         endpoints = id < endpoints.length ? endpoints : Arrays.copyOf(endpoints, 2 * id + 32);
         if (endpoints[id] == null) {
@@ -981,11 +994,11 @@
         } else {
             d.endpoints = Arrays.stream(d.endpoints).filter(i -> i != target).toArray(Endpoint[]::new);
             endpoints[id] = null;
-            out.forget(id);
+            out.releaseEndpoint(id);
         }
     }
 
-    public void listEnds() {
+    public void endpointListEnded() {
         for (Endpoint target : endpoints) {
             if (listWhole && target != null && target.namedIn != wholeLists) {
                 turnPhase(target, GONE);
@@ -993,7 +1006,7 @@
         }
     }
 
-    public void listFailed() {
+    public void endpointListFailed() {
         // The notice doesn't say whether the watch still stands, so it is asked for again, ever more slowly.
         askBackoff = askBackoff == 0 ? askAgain : min(4 * askAgain, askBackoff * 2);
         askBy(min(askAt, now + (long) (askBackoff * (0.5 + chance()))));
@@ -1001,12 +1014,12 @@
 
     // ---- The turn
 
-    public void due() {
+    public void alarmFired() {
         alarmAt = now < alarmAt ? alarmAt : NEVER;
     }
 
     /** Closes a round: what time alone decides, then, where the caller can send, whatever may go out goes. */
-    public void turn(boolean maySend) {
+    public void completeRound(boolean maySend) {
         turns++;
         while (!dues.isEmpty() && dues.peek().at <= now) {
             dues.poll().act.run();
@@ -1015,7 +1028,7 @@
         callOff(maySend);
         if (!dues.isEmpty() && alarmAt > dues.peek().at) {
             alarmAt = dues.peek().at;
-            out.alarm(alarmAt - now);
+            out.setAlarm(alarmAt - now);
         }
     }
 
@@ -1145,7 +1158,7 @@
         listen(target);
         if (now < renewUntil) {
             // Guards against connections that died while idle, unseen here: a call on one is lost.
-            out.close(target.id);
+            out.closeIdleConnections(target.id);
         }
         return call;
     }
--- a/decisions/src/test/java/yewpath/FleetReturnTest.java
+++ b/decisions/src/test/java/yewpath/FleetReturnTest.java
@@ -31,10 +31,10 @@
     private record Event(long at, long order, Runnable act) {}
 
     /** One relay: Logic, and what it asked for in its last turn. */
-    private static final class Relay implements Egress {
+    private static final class Relay implements PolicyActions {
         final List<int[]> sent = new ArrayList<>();
         final ArrayDeque<Integer> free = new ArrayDeque<>();
-        Logic logic;
+        DeliveryPolicy logic;
         int envelopes;
         long alarmIn = -1;
 
@@ -48,31 +48,31 @@
         }
 
         @Override
-        public void defer(int envelope, long pauseMicros) {
+        public void reject(int envelope, long pauseMicros) {
             free.add(envelope);
         }
 
         @Override
-        public void abort(int envelope) {
+        public void fail(int envelope) {
             free.add(envelope);
         }
 
         @Override
-        public void cancel(int envelope, int shot) {}
+        public void cancelAttempt(int envelope, int shot) {}
 
         @Override
-        public void close(int endpoint) {}
+        public void closeIdleConnections(int endpoint) {}
 
         @Override
-        public void forget(int endpoint) {}
+        public void releaseEndpoint(int endpoint) {}
 
         @Override
-        public void alarm(long inMicros) {
+        public void setAlarm(long inMicros) {
             alarmIn = inMicros;
         }
 
         @Override
-        public void list(boolean follow) {}
+        public void requestEndpointList(boolean follow) {}
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
@@ -128,36 +128,38 @@
         now = roomAt = 0;
         room = 1;
         SplittableRandom chance = new SplittableRandom(seed);
-        Settings s = new Settings();
-        s.relays = relays;
-        s.slots = 32;
-        s.holdLimit = 400;
-        s.shotLimit = 8;
-        s.mayCancel = true;
-        s.listTellsRate = true;
-        s.tellsPause = true;
-        s.pauseLimit = 3 * SECOND;
-        s.coldFrom = COLD_FROM;
-        s.coldFor = COLD_FOR;
-        s.fallMultiple = MULTIPLE;
-        s.fallFor = FALL_FOR;
-        s.connectTimeout = SECOND;
-        s.connectionIdle = 10 * SECOND;
-        s.routesApart = new boolean[1];
-        s.bundle = new int[]{bundle};
-        s.offerings = new Settings.Offering[]{
-            new Settings.Offering(1, 0.1, SECOND, 8 * SECOND, Settings.Kind.REPEATABLE, false, 0, false),
-            new Settings.Offering(1, 0.4, 3 * SECOND, 28 * SECOND, Settings.Kind.ONCE_ONLY, false, 0, false)};
+        PolicySettings s = new PolicySettings();
+        s.relayCount = relays;
+        s.maxConcurrentCalls = 32;
+        s.maxOpenMessages = 400;
+        s.maxAttempts = 8;
+        s.cancelAllowed = true;
+        s.listReportsRate = true;
+        s.reportsRetryAfter = true;
+        s.maxRetryAfterMicros = 3 * SECOND;
+        s.warmUpInitialShare = COLD_FROM;
+        s.warmUpMicros = COLD_FOR;
+        s.collapseMultiple = MULTIPLE;
+        s.collapseWindowMicros = FALL_FOR;
+        s.connectTimeoutMicros = SECOND;
+        s.idleConnectionTimeoutMicros = 10 * SECOND;
+        s.limitPerEndpoint = new boolean[1];
+        s.maxBatchSize = new int[]{bundle};
+        s.messageClasses = new PolicySettings.MessageClass[]{
+            new PolicySettings.MessageClass(1, 0.1, SECOND, 8 * SECOND,
+                PolicySettings.DeliverySemantics.IDEMPOTENT, false, 0, false),
+            new PolicySettings.MessageClass(1, 0.4, 3 * SECOND, 28 * SECOND,
+                PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, false)};
         List<Relay> fleet = new ArrayList<>();
         for (int i = 0; i < relays; i++) {
             Relay relay = new Relay();
-            s.self = i;
-            relay.logic = new Logic(s, seed * 1000L + i, relay, 0);
-            relay.logic.listBegins(true, false);
+            s.relayIndex = i;
+            relay.logic = new DeliveryPolicy(s, seed * 1000L + i, relay, 0);
+            relay.logic.endpointListStarted(true, false);
             for (int e = 0; e < endpoints; e++) {
-                relay.logic.listed(e, 0, 0, 0, 0, rate, 0);
+                relay.logic.endpointListed(e, 0, 0, 0, 0, rate, 0);
             }
-            relay.logic.listEnds();
+            relay.logic.endpointListEnded();
             fleet.add(relay);
         }
         // Some relays are handed more than others, and in clumps.
@@ -175,8 +177,9 @@
             Relay to = fleet.get(which);
             int offering = chance.nextInt(2);
             at(t, () -> {
-                to.logic.at(now);
-                to.logic.taken(to.envelope(), offering, -1, -1, 0, now + s.offerings[offering].expiry(), 0,
+                to.logic.setTime(now);
+                to.logic.messageAccepted(to.envelope(), offering, -1, -1, 0,
+                    now + s.messageClasses[offering].timeToLiveMicros(), 0,
                     -1, 0);
                 turn(to, rate, atOnce, bundle, chance);
             });
@@ -190,11 +193,11 @@
 
     private void turn(Relay relay, double rate, boolean atOnce, int bundle, SplittableRandom chance) {
         relay.alarmIn = -1;
-        relay.logic.turn(true);
+        relay.logic.completeRound(true);
         if (relay.alarmIn >= 0) {
             at(now + relay.alarmIn, () -> {
-                relay.logic.at(now);
-                relay.logic.due();
+                relay.logic.setTime(now);
+                relay.logic.alarmFired();
                 turn(relay, rate, atOnce, bundle, chance);
             });
         }
@@ -220,12 +223,12 @@
         boolean full = !gone && !takes(rate);
         long takes = gone ? atOnce ? 2 * MS : SECOND : full ? 25 * MS : 60 * MS + chance.nextLong(80 * MS);
         at(now + takes, () -> {
-            relay.logic.at(now);
+            relay.logic.setTime(now);
             for (int message : messages) {
                 delivered += gone || full || began < BACK ? 0 : 1;
-                relay.logic.settled(message, !gone && !full, 0, endpoint,
-                    gone ? Egress.UNREACHED : full ? Egress.FULL
-                        : Egress.FULFILLED,
+                relay.logic.attemptEnded(message, !gone && !full, 0, endpoint,
+                    gone ? PolicyActions.UNREACHABLE : full ? PolicyActions.OVERLOADED
+                        : PolicyActions.DELIVERED,
                     0, now - began, Double.NaN, Double.NaN);
                 if (!gone && !full) {
                     relay.free.add(message);
--- a/decisions/src/test/java/yewpath/ScenarioTest.java
+++ b/decisions/src/test/java/yewpath/ScenarioTest.java
@@ -54,8 +54,8 @@
         new Player().play(new String[]{"offring", "a"});
     }
 
-    private static final class Player implements Egress {
-        final Settings settings = new Settings();
+    private static final class Player implements PolicyActions {
+        final PolicySettings settings = new PolicySettings();
         final List<String> acts = new ArrayList<>();
         private final List<String> offerings = new ArrayList<>();
         private final List<String> kinds = new ArrayList<>();
@@ -68,21 +68,21 @@
         private final Map<Integer, Integer> shotAt = new HashMap<>();
         private final Map<Integer, Long> sentAt = new HashMap<>();
         private final TreeSet<Long> alarms = new TreeSet<>();
-        private Logic logic;
+        private DeliveryPolicy logic;
         private long now;
         private long seed = 1;
         int checks;
 
         Player() {
-            settings.relays = 1;
-            settings.slots = 8;
-            settings.holdLimit = 200;
-            settings.shotLimit = 6;
-            settings.coldFrom = 0.2;
-            settings.coldFor = 10_000_000;
-            settings.fallMultiple = 2;
-            settings.fallFor = 2_000_000;
-            settings.listTellsRate = true;
+            settings.relayCount = 1;
+            settings.maxConcurrentCalls = 8;
+            settings.maxOpenMessages = 200;
+            settings.maxAttempts = 6;
+            settings.warmUpInitialShare = 0.2;
+            settings.warmUpMicros = 10_000_000;
+            settings.collapseMultiple = 2;
+            settings.collapseWindowMicros = 2_000_000;
+            settings.listReportsRate = true;
         }
 
         void play(String[] w) {
@@ -116,8 +116,8 @@
                 }
                 case "keys" -> {
                     checks++;
-                    if (logic.keysKnown() != Integer.parseInt(w[1])) {
-                        throw new AssertionError(logic.keysKnown() + " are kept");
+                    if (logic.trackedKeyCount() != Integer.parseInt(w[1])) {
+                        throw new AssertionError(logic.trackedKeyCount() + " are kept");
                     }
                 }
                 case "mark" -> acts.clear();
@@ -128,25 +128,25 @@
         private void relay(Map<String, String> named) {
             named.forEach((key, value) -> {
                 switch (key) {
-                    case "relays" -> settings.relays = Integer.parseInt(value);
-                    case "slots" -> settings.slots = Integer.parseInt(value);
-                    case "hold" -> settings.holdLimit = Integer.parseInt(value);
-                    case "shots" -> settings.shotLimit = Integer.parseInt(value);
+                    case "relays" -> settings.relayCount = Integer.parseInt(value);
+                    case "slots" -> settings.maxConcurrentCalls = Integer.parseInt(value);
+                    case "hold" -> settings.maxOpenMessages = Integer.parseInt(value);
+                    case "shots" -> settings.maxAttempts = Integer.parseInt(value);
                     case "rates" -> {
-                        settings.listTellsRate = !value.equals("none");
-                        settings.rateIsRough = value.equals("rough");
+                        settings.listReportsRate = !value.equals("none");
+                        settings.listedRateIsApproximate = value.equals("rough");
                     }
-                    case "list" -> settings.listAsked = value.equals("asked");
-                    case "late" -> settings.halving = value.equals("halving");
-                    case "settle" -> settings.settleAfterDoubt = ms(value);
-                    case "probes" -> settings.mayProbe = value.equals("yes");
-                    case "idle" -> settings.connectionIdle = ms(value);
-                    case "connect" -> settings.connectTimeout = ms(value);
-                    case "cancels" -> settings.mayCancel = value.equals("yes");
+                    case "list" -> settings.listOnRequest = value.equals("asked");
+                    case "late" -> settings.lateRevenueHalves = value.equals("halving");
+                    case "settle" -> settings.settleAfterUncertainMicros = ms(value);
+                    case "probes" -> settings.probesAllowed = value.equals("yes");
+                    case "idle" -> settings.idleConnectionTimeoutMicros = ms(value);
+                    case "connect" -> settings.connectTimeoutMicros = ms(value);
+                    case "cancels" -> settings.cancelAllowed = value.equals("yes");
                     case "zone" -> settings.zone = Integer.parseInt(value);
                     case "refusal" -> settings.refusalPrice = Double.parseDouble(value);
-                    case "crossing" -> settings.crossingPrice = Double.parseDouble(value);
-                    case "fees" -> settings.fees = Stream.of(value.split(","))
+                    case "crossing" -> settings.crossZonePrice = Double.parseDouble(value);
+                    case "fees" -> settings.zoneFees = Stream.of(value.split(","))
                         .mapToDouble(Double::parseDouble).toArray();
                     case "seed" -> seed = Long.parseLong(value);
                     default -> throw new IllegalArgumentException("unknown figure " + key);
@@ -156,23 +156,24 @@
 
         private void offering(String[] w, Map<String, String> named) {
             offerings.add(w[1]);
-            Settings.Kind kind = Settings.Kind.valueOf(w[2].toUpperCase().replace('-', '_'));
-            Settings.Offering[] all = java.util.Arrays.copyOf(settings.offerings, offerings.size());
-            all[all.length - 1] = new Settings.Offering(
+            PolicySettings.DeliverySemantics kind = PolicySettings.DeliverySemantics.ofWord(w[2]);
+            PolicySettings.MessageClass[] all = java.util.Arrays.copyOf(settings.messageClasses,
+                offerings.size());
+            all[all.length - 1] = new PolicySettings.MessageClass(
                 Double.parseDouble(named.getOrDefault("revenue", "1")),
                 Double.parseDouble(named.getOrDefault("late", "0.1")),
                 ms(named.getOrDefault("agreed", "1000")),
                 ms(named.getOrDefault("expiry", "8000")), kind, List.of(w).contains("zone"),
                 ms(named.getOrDefault("memory", "5000")), List.of(w).contains("ordered"));
-            settings.offerings = all;
+            settings.messageClasses = all;
         }
 
         private void kind(String[] w) {
             kinds.add(w[1]);
-            settings.routesApart = java.util.Arrays.copyOf(settings.routesApart, kinds.size());
-            settings.bundle = java.util.Arrays.copyOf(settings.bundle, kinds.size());
-            settings.routesApart[kinds.size() - 1] = List.of(w).contains("apart");
-            settings.bundle[kinds.size() - 1] = List.of(w).contains("bundled") ? 20 : 1;
+            settings.limitPerEndpoint = java.util.Arrays.copyOf(settings.limitPerEndpoint, kinds.size());
+            settings.maxBatchSize = java.util.Arrays.copyOf(settings.maxBatchSize, kinds.size());
+            settings.limitPerEndpoint[kinds.size() - 1] = List.of(w).contains("apart");
+            settings.maxBatchSize[kinds.size() - 1] = List.of(w).contains("bundled") ? 20 : 1;
         }
 
         private void event(String[] w, Map<String, String> named) {
@@ -180,31 +181,32 @@
                 throw new IllegalArgumentException("unknown word " + w[0]);
             }
             if (logic == null) {
-                logic = new Logic(settings, seed, this, 0);
+                logic = new DeliveryPolicy(settings, seed, this, 0);
             }
             reach(ms(w[0]));
             if (w.length > 1) {
                 one(w, named);
             }
-            logic.turn(true);
+            logic.completeRound(true);
         }
 
         private void reach(long to) {
             while (!alarms.isEmpty() && alarms.first() <= to) {
                 now = alarms.pollFirst();
-                logic.at(now);
-                logic.due();
-                logic.turn(true);
+                logic.setTime(now);
+                logic.alarmFired();
+                logic.completeRound(true);
             }
             now = to;
-            logic.at(now);
+            logic.setTime(now);
         }
 
         private void one(String[] w, Map<String, String> named) {
             if (OUTCOMES.contains(w[1])) {
                 for (int id = first(w[2]); id <= last(w[2]); id++) {
                     int outcome = OUTCOMES.indexOf(w[1]);
-                    logic.settled(id, outcome == 0, shots.getOrDefault(id, 1) - 1, shotAt.getOrDefault(id, 0),
+                    logic.attemptEnded(id, outcome == 0, shots.getOrDefault(id, 1) - 1,
+                        shotAt.getOrDefault(id, 0),
                         outcome,
                         ms(named.getOrDefault("wait", "0")), now - sentAt.getOrDefault(id, 0L),
                         Double.parseDouble(named.getOrDefault("left", "NaN")),
@@ -217,32 +219,32 @@
                     int offering = offerings.indexOf(w[3]);
                     String key = named.get("key");
                     for (int id = first(w[2]); id <= last(w[2]); id++) {
-                        logic.taken(id, offering, -1,
+                        logic.messageAccepted(id, offering, -1,
                             key == null ? -1 : keys.computeIfAbsent(key, k -> keys.size()),
                             destinations.computeIfAbsent(w[4], d -> destinations.size()),
-                            now + settings.offerings[offering].expiry(),
+                            now + settings.messageClasses[offering].timeToLiveMicros(),
                             Integer.parseInt(named.getOrDefault("shots", "0")),
                             named.containsKey("doubt") ? ms(named.get("doubt")) : -1, 0);
                     }
                 }
-                case "withdrawn" -> logic.withdrawn(first(w[2]));
+                case "withdrawn" -> logic.messageWithdrawn(first(w[2]));
                 case "list" -> {
                     if (w[2].equals("failed")) {
-                        logic.listFailed();
+                        logic.endpointListFailed();
                         return;
                     }
-                    logic.listBegins(!w[2].equals("delta"), w[2].equals("cached"));
+                    logic.endpointListStarted(!w[2].equals("delta"), w[2].equals("cached"));
                     for (int i = 3; i < w.length; i++) {
                         String[] f = w[i].split(":");
                         int at = endpoints.computeIfAbsent(f[0],
                             e -> forgotten.isEmpty() ? endpointNames.size() : forgotten.poll());
                         endpointNames.put(at, f[0]);
-                        logic.listed(at, f.length > 5 ? Integer.parseInt(f[5]) : 0,
+                        logic.endpointListed(at, f.length > 5 ? Integer.parseInt(f[5]) : 0,
                             Math.max(0, kinds.indexOf(f[2])),
                             destinations.computeIfAbsent(f[1], d -> destinations.size()),
                             List.of("up", "draining", "gone").indexOf(f[3]), Double.parseDouble(f[4]), 0);
                     }
-                    logic.listEnds();
+                    logic.endpointListEnded();
                 }
                 default -> throw new IllegalArgumentException("unknown event " + w[1]);
             }
@@ -272,44 +274,44 @@
         }
 
         @Override
-        public void defer(int envelope, long pauseMicros) {
+        public void reject(int envelope, long pauseMicros) {
             acts.add("defer " + envelope + " pause=" + pauseMicros / 1000);
         }
 
         @Override
-        public void abort(int envelope) {
+        public void fail(int envelope) {
             acts.add("abort " + envelope);
         }
 
         @Override
-        public void cancel(int envelope, int shot) {
+        public void cancelAttempt(int envelope, int shot) {
             acts.add("cancel " + envelope + " " + shot);
         }
 
         @Override
-        public void close(int endpoint) {
+        public void closeIdleConnections(int endpoint) {
             acts.add("close " + endpointNames.get(endpoint));
         }
 
         @Override
-        public void forget(int endpoint) {
+        public void releaseEndpoint(int endpoint) {
             acts.add("forget " + endpointNames.get(endpoint));
             endpoints.remove(endpointNames.get(endpoint));
             forgotten.add(endpoint);
         }
 
         @Override
-        public void health(int endpoint, boolean well) {
+        public void endpointHealthChanged(int endpoint, boolean well) {
             acts.add((well ? "well " : "sick ") + endpointNames.get(endpoint));
         }
 
         @Override
-        public void alarm(long inMicros) {
+        public void setAlarm(long inMicros) {
             alarms.add(now + inMicros);
         }
 
         @Override
-        public void list(boolean follow) {
+        public void requestEndpointList(boolean follow) {
             acts.add(follow ? "follow" : "fetch");
         }
     }
--- a/lab/src/main/java/yewpath/lab/Footprint.java
+++ b/lab/src/main/java/yewpath/lab/Footprint.java
@@ -2,9 +2,9 @@
 
 import java.io.PrintStream;
 import java.util.Locale;
-import yewpath.Egress;
-import yewpath.Logic;
-import yewpath.Settings;
+import yewpath.DeliveryPolicy;
+import yewpath.PolicyActions;
+import yewpath.PolicySettings;
 
 /** What Logic keeps, in bytes of heap: for ordered keys long over, and for destinations at rest. */
 final class Footprint {
@@ -24,75 +24,78 @@
     }
 
     private void tell(String what, int envelopes, int count, int destinations) {
-        Settings settings = new Settings();
-        settings.relays = 1;
-        settings.slots = 1_000;
-        settings.settleAfterDoubt = SECOND / 2;
-        settings.listTellsRate = true;
-        settings.offerings = new Settings.Offering[]{
-            new Settings.Offering(1, 0.1, SECOND, 8 * SECOND, Settings.Kind.REPEATABLE, false, 0,
+        PolicySettings settings = new PolicySettings();
+        settings.relayCount = 1;
+        settings.maxConcurrentCalls = 1_000;
+        settings.settleAfterUncertainMicros = SECOND / 2;
+        settings.listReportsRate = true;
+        settings.messageClasses = new PolicySettings.MessageClass[]{
+            new PolicySettings.MessageClass(1, 0.1, SECOND, 8 * SECOND,
+                PolicySettings.DeliverySemantics.IDEMPOTENT, false, 0,
                 destinations == 1)};
-        settings.routesApart = new boolean[1];
-        settings.bundle = new int[]{1};
+        settings.limitPerEndpoint = new boolean[1];
+        settings.maxBatchSize = new int[]{1};
         long[] clock = {0};
         int[] sentTo = {-1};
-        Logic logic = new Logic(settings, 1, new Egress() {
+        DeliveryPolicy logic = new DeliveryPolicy(settings, 1, new PolicyActions() {
             @Override
             public void send(int envelope, int endpoint, long withinMicros, long leaveBy) {
                 sentTo[0] = endpoint;
             }
 
             @Override
-            public void defer(int envelope, long pauseMicros) {}
+            public void reject(int envelope, long pauseMicros) {}
 
             @Override
-            public void abort(int envelope) {}
+            public void fail(int envelope) {}
 
             @Override
-            public void cancel(int envelope, int shot) {}
+            public void cancelAttempt(int envelope, int shot) {}
 
             @Override
-            public void close(int endpoint) {}
+            public void closeIdleConnections(int endpoint) {}
 
             @Override
-            public void forget(int endpoint) {}
+            public void releaseEndpoint(int endpoint) {}
 
             @Override
-            public void alarm(long inMicros) {}
+            public void setAlarm(long inMicros) {}
 
             @Override
-            public void list(boolean follow) {}
+            public void requestEndpointList(boolean follow) {}
         }, 0);
         long before = used();
-        logic.listBegins(true, false);
+        logic.endpointListStarted(true, false);
         for (int i = 0; i < destinations; i++) {
-            logic.listed(i, 0, 0, i, 0, 1_000, 0);
+            logic.endpointListed(i, 0, 0, i, 0, 1_000, 0);
         }
-        logic.listEnds();
-        logic.turn(true);
+        logic.endpointListEnded();
+        logic.completeRound(true);
         for (int i = 0; i < envelopes; i++) {
             clock[0] += 2_000;
-            logic.at(clock[0]);
+            logic.setTime(clock[0]);
             sentTo[0] = -1;
             // The index is used again, as relays do: what is counted is what is kept beyond the envelope.
-            logic.taken(0, 0, -1, destinations == 1 ? i : -1, i % destinations, clock[0] + 8 * SECOND, 0, -1,
+            logic.messageAccepted(0, 0, -1, destinations == 1 ? i : -1, i % destinations,
+                clock[0] + 8 * SECOND, 0, -1,
                 0);
-            logic.turn(true);
+            logic.completeRound(true);
             if (sentTo[0] >= 0) {
-                logic.settled(0, true, 0, sentTo[0], Egress.FULFILLED, 0, 1_000, Double.NaN, Double.NaN);
+                logic.attemptEnded(0, true, 0, sentTo[0], PolicyActions.DELIVERED, 0, 1_000, Double.NaN,
+                    Double.NaN);
             }
-            logic.due();
-            logic.turn(true);
+            logic.alarmFired();
+            logic.completeRound(true);
         }
         for (int second = 0; second < 60; second++) {
             clock[0] += SECOND;
-            logic.at(clock[0]);
-            logic.due();
-            logic.turn(true);
+            logic.setTime(clock[0]);
+            logic.alarmFired();
+            logic.completeRound(true);
         }
         say.printf(Locale.ROOT, "| %s | %d | %.0f |%n", what, count, (used() - before) / (double) count);
         // Kept reachable until its heap was counted.
-        logic.at(clock[0]);
+        logic.setTime(clock[0]);
     }
 
     private static long used() {
--- a/lab/src/main/java/yewpath/lab/load/SocketHost.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketHost.java
@@ -6,7 +6,7 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import yewpath.Egress;
+import yewpath.PolicyActions;
 import yewpath.lab.world.Answerer;
 import yewpath.lab.world.Envelope;
 import yewpath.lab.world.Host;
@@ -112,7 +112,7 @@
             world.referee.waitTold(world.calendar.now(), shot.to.route(shot), pause);
         }
         on.answered(outcome, pause);
-        if (outcome == Egress.FULFILLED) {
+        if (outcome == PolicyActions.DELIVERED) {
             world.referee.fulfilled(world.calendar.now(), shot.envelope.index);
             world.crowd.fulfilled(shot.envelope);
         }
--- a/lab/src/main/java/yewpath/lab/load/SocketStation.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketStation.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import yewpath.Egress;
+import yewpath.PolicyActions;
 import yewpath.lab.world.Envelope;
 import yewpath.lab.world.Shot;
 import yewpath.lab.world.Station;
@@ -127,9 +127,9 @@
             shot = null;
             firstByteAt = -1;
             switch (outcome) {
-                case Egress.FULFILLED -> wire.write(Message.answer(200));
-                case Egress.ERROR -> wire.write(Message.answer(500));
-                case Egress.FULL -> wire.write(
+                case PolicyActions.DELIVERED -> wire.write(Message.answer(200));
+                case PolicyActions.ERROR -> wire.write(Message.answer(500));
+                case PolicyActions.OVERLOADED -> wire.write(
                     pause > 0 ? Message.answer(429, "Retry-After: " + pause / 1e6) : Message.answer(503));
                 default -> {
                     wire.reset();
--- a/lab/src/main/java/yewpath/lab/policy/LogicPolicy.java
+++ b/lab/src/main/java/yewpath/lab/policy/LogicPolicy.java
@@ -1,64 +1,64 @@
 package yewpath.lab.policy;
 
-import yewpath.Egress;
-import yewpath.Logic;
-import yewpath.Settings;
+import yewpath.DeliveryPolicy;
+import yewpath.PolicyActions;
+import yewpath.PolicySettings;
 
 /** The real module, unchanged. */
 final class LogicPolicy implements Policy {
-    private final Logic logic;
+    private final DeliveryPolicy logic;
 
-    LogicPolicy(Settings settings, long seed, Egress out, long now) {
-        logic = new Logic(settings, seed, out, now);
+    LogicPolicy(PolicySettings settings, long seed, PolicyActions out, long now) {
+        logic = new DeliveryPolicy(settings, seed, out, now);
     }
 
     @Override
     public void at(long clock) {
-        logic.at(clock);
+        logic.setTime(clock);
     }
 
     @Override
     public void taken(int id, int offering, int tenant, int key, int destination, long expiry, int shots,
         long doubtSince,
         int doubtZone) {
-        logic.taken(id, offering, tenant, key, destination, expiry, shots, doubtSince, doubtZone);
+        logic.messageAccepted(id, offering, tenant, key, destination, expiry, shots, doubtSince, doubtZone);
     }
 
     @Override
     public void withdrawn(int id) {
-        logic.withdrawn(id);
+        logic.messageWithdrawn(id);
     }
 
     @Override
     public void settled(int id, boolean over, int shot, int endpoint, int outcome, long wait, long elapsed,
         double left,
         double limit) {
-        logic.settled(id, over, shot, endpoint, outcome, wait, elapsed, left, limit);
+        logic.attemptEnded(id, over, shot, endpoint, outcome, wait, elapsed, left, limit);
     }
 
     @Override
     public void listBegins(boolean whole, boolean cached) {
-        logic.listBegins(whole, cached);
+        logic.endpointListStarted(whole, cached);
     }
 
     @Override
     public void listed(int endpoint, int zone, int kind, int destination, int phase, double rate,
         long since) {
-        logic.listed(endpoint, zone, kind, destination, phase, rate, since);
+        logic.endpointListed(endpoint, zone, kind, destination, phase, rate, since);
     }
 
     @Override
     public void listEnds() {
-        logic.listEnds();
+        logic.endpointListEnded();
     }
 
     @Override
     public void due() {
-        logic.due();
+        logic.alarmFired();
     }
 
     @Override
     public void turn() {
-        logic.turn(true);
+        logic.completeRound(true);
     }
 }
--- a/lab/src/main/java/yewpath/lab/policy/Policies.java
+++ b/lab/src/main/java/yewpath/lab/policy/Policies.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntToDoubleFunction;
-import yewpath.Egress;
-import yewpath.Settings;
+import yewpath.PolicyActions;
+import yewpath.PolicySettings;
 import yewpath.lab.core.Chance;
 
 /** All policies by name. */
 public final class Policies {
     /** What a policy is made from; {@code truth} gives the true room of an endpoint, for the oracle alone. */
-    public record Given(Settings settings, long seed, Egress out, Chance chance, long now,
+    public record Given(PolicySettings settings, long seed, PolicyActions out, Chance chance, long now,
         IntToDoubleFunction truth) {}
 
     private interface Maker {
@@ -85,9 +85,10 @@
 
         @Override
         void learn(Lane lane, int outcome, long elapsed) {
-            if (outcome == Egress.FULFILLED) {
+            if (outcome == PolicyActions.DELIVERED) {
                 lane.limit = Math.min(1_000, lane.limit + 1 / Math.max(1, lane.limit));
-            } else if (outcome != Egress.MOOT && outcome != Egress.CANCELLED && now - lane.since > 100_000) {
+            } else if (outcome != PolicyActions.NOT_EXECUTED && outcome != PolicyActions.CANCELLED
+                && now - lane.since > 100_000) {
                 // Once a round trip or so: the shots of one burst fail for one cause.
                 lane.limit = Math.max(1, lane.limit / 2);
                 lane.since = now;
@@ -109,7 +110,7 @@
 
         @Override
         void learn(Lane lane, int outcome, long elapsed) {
-            if (outcome == Egress.FULFILLED) {
+            if (outcome == PolicyActions.DELIVERED) {
                 lane.figure = lane.figure == 0 ? elapsed : lane.figure + (elapsed - lane.figure) / 100;
                 lane.second = lane.second == 0 ? elapsed : lane.second + (elapsed - lane.second) / 10;
                 double gradient = Math.max(0.5, Math.min(1, 1.5 * lane.figure / lane.second));
@@ -117,7 +118,7 @@
                     double wanted = lane.limit * gradient + Math.sqrt(lane.limit);
                     lane.limit = Math.max(1, Math.min(1_000, lane.limit * 0.8 + wanted * 0.2));
                 }
-            } else if (outcome == Egress.FULL || outcome == Egress.TIMEOUT) {
+            } else if (outcome == PolicyActions.OVERLOADED || outcome == PolicyActions.TIMEOUT) {
                 lane.limit = Math.max(1, lane.limit * 0.9);
             }
         }
@@ -126,7 +127,7 @@
     /** A token bucket at the listed rate's part, and a circuit breaker (Nygard, Release It!, 2007): open for 1 s after five failures. */
     private static final class BucketBreaker extends Textbook {
         private static final int RUN = 5;
-        private final Settings settings;
+        private final PolicySettings settings;
         private final java.util.Map<Integer, Double> rates = new java.util.HashMap<>();
 
         BucketBreaker(Given g) {
@@ -147,7 +148,7 @@
                 // Half open after a second: one shot tells.
                 return now - lane.since > 1_000_000 ? 1 : 0;
             }
-            double rate = rates.getOrDefault(lane.endpoints.get(0), 10.0) / Math.max(1, settings.relays);
+            double rate = rates.getOrDefault(lane.endpoints.get(0), 10.0) / Math.max(1, settings.relayCount);
             lane.second += (now - (long) lane.figure) * rate / 1e6;
             lane.second = Math.min(lane.second, Math.max(1, rate / 5));
             lane.figure = now;
@@ -160,9 +161,9 @@
 
         @Override
         void learn(Lane lane, int outcome, long elapsed) {
-            if (outcome == Egress.FULFILLED) {
+            if (outcome == PolicyActions.DELIVERED) {
                 lane.run = 0;
-            } else if (outcome != Egress.MOOT && ++lane.run >= RUN) {
+            } else if (outcome != PolicyActions.NOT_EXECUTED && ++lane.run >= RUN) {
                 lane.since = now;
             }
         }
@@ -248,8 +249,9 @@
             int looked = 0;
             for (Held one : lane.line) {
                 boolean better = best == null || isLate(best) && !isLate(one) || isLate(best) == isLate(one)
-                    && settings.offerings[one.offering].revenue() > settings.offerings[best.offering]
-                        .revenue();
+                    && settings.messageClasses[one.offering]
+                        .revenue() > settings.messageClasses[best.offering]
+                            .revenue();
                 best = better ? one : best;
                 if (++looked == 64) {
                     break;
--- a/lab/src/main/java/yewpath/lab/policy/Policy.java
+++ b/lab/src/main/java/yewpath/lab/policy/Policy.java
@@ -1,6 +1,6 @@
 package yewpath.lab.policy;
 
-/** What a relay tells whoever decides; the words and indices are those of {@link yewpath.Logic}. */
+/** What a relay tells whoever decides; the words and indices are those of {@link yewpath.DeliveryPolicy}. */
 public interface Policy {
     void at(long clock);
 
--- a/lab/src/main/java/yewpath/lab/policy/Textbook.java
+++ b/lab/src/main/java/yewpath/lab/policy/Textbook.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import yewpath.Egress;
-import yewpath.Settings;
+import yewpath.PolicyActions;
+import yewpath.PolicySettings;
 import yewpath.lab.core.Chance;
 
 /**
@@ -49,8 +49,8 @@
     private record Due(long at, Runnable act) {}
 
     private static final long AHEAD = 40_000;
-    final Settings settings;
-    final Egress out;
+    final PolicySettings settings;
+    final PolicyActions out;
     final Chance chance;
     long now;
     private final int slots;
@@ -67,12 +67,12 @@
     private int slotsOut;
     private long alarmAt = Long.MAX_VALUE;
 
-    Textbook(Settings settings, Egress out, Chance chance, long now) {
+    Textbook(PolicySettings settings, PolicyActions out, Chance chance, long now) {
         this.settings = settings;
         this.out = out;
         this.chance = chance;
         this.now = now;
-        slots = Math.max(1, settings.slots);
+        slots = Math.max(1, settings.maxConcurrentCalls);
     }
 
     // ---- What they differ in
@@ -85,7 +85,7 @@
 
     /** Whether one that may be repeated is tried again. */
     boolean triesAgain(Held one) {
-        return settings.shotLimit <= 0 || one.shots < settings.shotLimit;
+        return settings.maxAttempts <= 0 || one.shots < settings.maxAttempts;
     }
 
     /** How long it waits for that. */
@@ -143,7 +143,7 @@
         Held one = new Held();
         one.id = id;
         one.offering = offering;
-        one.key = settings.offerings[offering].ordered() ? key : -1;
+        one.key = settings.messageClasses[offering].ordered() ? key : -1;
         one.expiry = expiry;
         one.shots = shots;
         one.doubtSince = doubtSince;
@@ -175,14 +175,15 @@
     }
 
     private boolean mayRepeat(Held one) {
-        Settings.Offering offering = settings.offerings[one.offering];
-        return one.doubtSince < 0 || offering.kind() == Settings.Kind.REPEATABLE
-            || offering.kind() == Settings.Kind.TAGGED && now < one.doubtSince + offering.memory();
+        PolicySettings.MessageClass offering = settings.messageClasses[one.offering];
+        return one.doubtSince < 0 || offering.semantics() == PolicySettings.DeliverySemantics.IDEMPOTENT
+            || offering.semantics() == PolicySettings.DeliverySemantics.DEDUPLICATED
+                && now < one.doubtSince + offering.deduplicationMicros();
     }
 
     final boolean isLate(Held one) {
-        Settings.Offering offering = settings.offerings[one.offering];
-        return now > one.expiry - offering.expiry() + offering.agreed();
+        PolicySettings.MessageClass offering = settings.messageClasses[one.offering];
+        return now > one.expiry - offering.timeToLiveMicros() + offering.onTimeMicros();
     }
 
     /** Without a delivery: handed back where a repeat does no harm. */
@@ -192,9 +193,9 @@
         }
         leave(one);
         if (mayRepeat(one)) {
-            out.defer(one.id, pauseMicros);
+            out.reject(one.id, pauseMicros);
         } else {
-            out.abort(one.id);
+            out.fail(one.id);
         }
     }
 
@@ -217,7 +218,7 @@
         } else if (first) {
             Held following = line.peek();
             // After a shot that may still run the key rests.
-            long rest = one.doubtSince >= 0 ? settings.settleAfterDoubt : 0;
+            long rest = one.doubtSince >= 0 ? settings.settleAfterUncertainMicros : 0;
             later(now + rest, () -> {
                 if (!following.gone) {
                     enter(following);
@@ -259,8 +260,9 @@
             }
             return;
         }
-        boolean mayHaveRun = outcome == Egress.ERROR || outcome == Egress.TIMEOUT || outcome == Egress.BROKEN
-            || outcome == Egress.CANCELLED || outcome == Egress.STALE;
+        boolean mayHaveRun = outcome == PolicyActions.ERROR || outcome == PolicyActions.TIMEOUT
+            || outcome == PolicyActions.CONNECTION_LOST
+            || outcome == PolicyActions.CANCELLED || outcome == PolicyActions.STALE_CONNECTION;
         if (mayHaveRun && one.doubtSince < 0) {
             one.doubtSince = now;
         }
@@ -329,7 +331,7 @@
         }
         if (!dues.isEmpty() && dues.peek().at < alarmAt) {
             alarmAt = dues.peek().at;
-            out.alarm(Math.max(1, alarmAt - now));
+            out.setAlarm(Math.max(1, alarmAt - now));
         }
     }
 
--- a/lab/src/main/java/yewpath/lab/world/RelayHost.java
+++ b/lab/src/main/java/yewpath/lab/world/RelayHost.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import yewpath.Egress;
+import yewpath.PolicyActions;
 import yewpath.lab.core.Calendar;
 import yewpath.lab.policy.Policies;
 import yewpath.lab.policy.Policy;
@@ -12,7 +12,7 @@
 import yewpath.lab.scenario.Scenario;
 
 /** One relay: a policy with what a relay does around it; rounds, connections, time-outs, a ledger. */
-final class RelayHost implements Egress, Host, Answerer {
+final class RelayHost implements PolicyActions, Host, Answerer {
     private final World world;
     private final Scenario s;
     private final Calendar calendar;
@@ -178,7 +178,7 @@
             for (int local = 0; local < used; local++) {
                 Shot shot = out[local];
                 if (shot != null && shot.to == one && !shot.left) {
-                    settle(shot, MOOT, 0);
+                    settle(shot, NOT_EXECUTED, 0);
                 }
             }
         }
@@ -224,7 +224,7 @@
             if (connects == 2) {
                 calendar.in(Math.max(0, s.connectTimeout - trip), () -> {
                     if (mine == life) {
-                        settle(shot, UNREACHED, 0);
+                        settle(shot, UNREACHABLE, 0);
                     }
                 });
                 return;
@@ -234,7 +234,7 @@
                     return;
                 }
                 if (connects == 1) {
-                    settle(shot, UNREACHED, 0);
+                    settle(shot, UNREACHABLE, 0);
                 } else {
                     write(shot);
                 }
@@ -279,7 +279,7 @@
             return;
         }
         close(shot);
-        settle(shot, shot.left ? outcome : outcome == TIMEOUT ? UNREACHED : MOOT, 0);
+        settle(shot, shot.left ? outcome : outcome == TIMEOUT ? UNREACHABLE : NOT_EXECUTED, 0);
     }
 
     /** Our end of its connection: the endpoint hears of it a trip later, unless it is cut off. */
@@ -305,13 +305,13 @@
         int local = shot.local;
         Envelope e = shot.envelope;
         out[local] = out[local] == shot ? null : out[local];
-        boolean delivered = outcome == FULFILLED;
-        if (delivered || outcome == ERROR || outcome == FULL) {
+        boolean delivered = outcome == DELIVERED;
+        if (delivered || outcome == ERROR || outcome == OVERLOADED) {
             idle[shot.to.index]++;
             idleSince[shot.to.index] = calendar.now();
         }
         referee.back(e.index, index, key(e));
-        if (outcome == ERROR || outcome == TIMEOUT || outcome == BROKEN || outcome == CANCELLED) {
+        if (outcome == ERROR || outcome == TIMEOUT || outcome == CONNECTION_LOST || outcome == CANCELLED) {
             e.doubtSince = e.doubtSince < 0 ? calendar.now() : e.doubtSince;
         }
         if (delivered && !over[local]) {
@@ -344,7 +344,7 @@
     }
 
     @Override
-    public void cancel(int envelope, int shot) {
+    public void cancelAttempt(int envelope, int shot) {
         Shot meant = out[envelope];
         acts.add(() -> {
             if (meant != null) {
@@ -354,20 +354,20 @@
     }
 
     @Override
-    public void close(int endpoint) {
+    public void closeIdleConnections(int endpoint) {
         acts.add(() -> idle[endpoint] = 0);
     }
 
     @Override
-    public void forget(int endpoint) {}
+    public void releaseEndpoint(int endpoint) {}
 
     @Override
-    public void defer(int envelope, long pauseMicros) {
+    public void reject(int envelope, long pauseMicros) {
         finish(envelope, true, pauseMicros);
     }
 
     @Override
-    public void abort(int envelope) {
+    public void fail(int envelope) {
         finish(envelope, false, 0);
     }
 
@@ -391,7 +391,7 @@
     }
 
     @Override
-    public void alarm(long inMicros) {
+    public void setAlarm(long inMicros) {
         int mine = life;
         calendar.in(inMicros, () -> {
             if (mine == life && up) {
@@ -401,7 +401,7 @@
     }
 
     @Override
-    public void list(boolean follow) {
+    public void requestEndpointList(boolean follow) {
         int mine = life;
         calendar.in(s.directoryDelay, () -> {
             if (mine == life && up) {
--- a/lab/src/main/java/yewpath/lab/world/Station.java
+++ b/lab/src/main/java/yewpath/lab/world/Station.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import yewpath.Egress;
+import yewpath.PolicyActions;
 import yewpath.lab.core.Calendar;
 import yewpath.lab.core.Chance;
 import yewpath.lab.referee.Referee;
@@ -105,7 +105,7 @@
         shot.lands();
         if (vanished || refusing) {
             if (refusing) {
-                shot.answered(Egress.BROKEN, 0);
+                shot.answered(PolicyActions.CONNECTION_LOST, 0);
             }
             return;
         }
@@ -156,7 +156,7 @@
 
     private void refuse(Shot shot, long pause) {
         over(shot);
-        shot.answered(Egress.FULL, pause);
+        shot.answered(PolicyActions.OVERLOADED, pause);
     }
 
     private void begin(Shot shot) {
@@ -173,7 +173,8 @@
         shot.inService = false;
         busy--;
         runs(shot);
-        int outcome = faults.is(errors) ? Egress.ERROR : faults.is(resets) ? Egress.BROKEN : Egress.FULFILLED;
+        int outcome = faults.is(errors) ? PolicyActions.ERROR
+            : faults.is(resets) ? PolicyActions.CONNECTION_LOST : PolicyActions.DELIVERED;
         boolean hung = silent;
         if (!hung) {
             over(shot);
@@ -222,7 +223,7 @@
     void drop() {
         for (Shot shot : waiting) {
             over(shot);
-            shot.answered(Egress.BROKEN, 0);
+            shot.answered(PolicyActions.CONNECTION_LOST, 0);
         }
         waiting.clear();
     }
--- a/lab/src/main/java/yewpath/lab/world/World.java
+++ b/lab/src/main/java/yewpath/lab/world/World.java
@@ -1,7 +1,7 @@
 package yewpath.lab.world;
 
 import org.HdrHistogram.Histogram;
-import yewpath.Settings;
+import yewpath.PolicySettings;
 import yewpath.lab.core.Calendar;
 import yewpath.lab.core.Chance;
 import yewpath.lab.referee.Referee;
@@ -263,30 +263,30 @@
         return s.limit > 0 ? s.limit : s.endpointsEach * s.capacity * 1e6 / s.service;
     }
 
-    Settings settings(int self) {
-        Settings t = new Settings();
-        t.relays = s.relays;
-        t.self = self;
-        t.slots = s.slots;
-        t.holdLimit = s.hold;
-        t.shotLimit = s.tries;
-        t.mayCancel = true;
-        t.listTellsRate = true;
-        t.tellsPause = true;
-        t.pauseLimit = 10_000_000;
-        t.coldFrom = s.coldFrom;
-        t.coldFor = s.coldFor;
-        t.fallMultiple = s.fallMultiple;
-        t.fallFor = s.fallFor;
-        t.settleAfterDoubt = SETTLE;
-        t.connectTimeout = s.connectTimeout;
-        t.connectionIdle = s.connectionIdle;
-        t.routesApart = new boolean[1];
-        t.bundle = new int[]{1};
-        t.offerings = s.offerings.stream()
-            .map(o -> new Settings.Offering(o.revenue(), o.lateRevenue(), o.agreed(), o.expiry(),
-                Settings.Kind.valueOf(kind(o.kind()).name()), false, o.memory(), o.ordered()))
-            .toArray(Settings.Offering[]::new);
+    PolicySettings settings(int self) {
+        PolicySettings t = new PolicySettings();
+        t.relayCount = s.relays;
+        t.relayIndex = self;
+        t.maxConcurrentCalls = s.slots;
+        t.maxOpenMessages = s.hold;
+        t.maxAttempts = s.tries;
+        t.cancelAllowed = true;
+        t.listReportsRate = true;
+        t.reportsRetryAfter = true;
+        t.maxRetryAfterMicros = 10_000_000;
+        t.warmUpInitialShare = s.coldFrom;
+        t.warmUpMicros = s.coldFor;
+        t.collapseMultiple = s.fallMultiple;
+        t.collapseWindowMicros = s.fallFor;
+        t.settleAfterUncertainMicros = SETTLE;
+        t.connectTimeoutMicros = s.connectTimeout;
+        t.idleConnectionTimeoutMicros = s.connectionIdle;
+        t.limitPerEndpoint = new boolean[1];
+        t.maxBatchSize = new int[]{1};
+        t.messageClasses = s.offerings.stream()
+            .map(o -> new PolicySettings.MessageClass(o.revenue(), o.lateRevenue(), o.agreed(), o.expiry(),
+                PolicySettings.DeliverySemantics.ofWord(o.kind()), false, o.memory(), o.ordered()))
+            .toArray(PolicySettings.MessageClass[]::new);
         return t;
     }
 }
--- a/lab/src/test/java/yewpath/lab/DecisionDigestTest.java
+++ b/lab/src/test/java/yewpath/lab/DecisionDigestTest.java
@@ -8,7 +8,7 @@
 import java.util.Properties;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import yewpath.Settings;
+import yewpath.PolicySettings;
 
 /**
  * Compares every action of the decision module, in order, with those recorded before a refactoring. A rename or a split
@@ -40,78 +40,82 @@
 
     private static String play(String name, long seed) {
         DecisionFleet.Options options = new DecisionFleet.Options();
-        Settings settings = settings();
+        PolicySettings settings = settings();
         switch (name) {
             case "plain" -> options.relays = 3;
             case "reported" -> {
                 options.reports = true;
-                settings.relays = 40;
+                settings.relayCount = 40;
             }
             case "unlisted" -> {
-                settings.listTellsRate = false;
-                settings.halving = true;
+                settings.listReportsRate = false;
+                settings.lateRevenueHalves = true;
             }
             case "zoned" -> {
-                settings.crossingPrice = 0.004;
-                settings.fees = new double[]{0.02, 0};
-                settings.rateIsRough = true;
+                settings.crossZonePrice = 0.004;
+                settings.zoneFees = new double[]{0.02, 0};
+                settings.listedRateIsApproximate = true;
             }
             case "asked" -> {
-                settings.listAsked = true;
-                settings.askEvery = 2 * SECOND;
+                settings.listOnRequest = true;
+                settings.listRequestIntervalMicros = 2 * SECOND;
             }
             case "crowded" -> {
-                settings.slots = 6;
-                settings.holdLimit = 24;
+                settings.maxConcurrentCalls = 6;
+                settings.maxOpenMessages = 24;
                 settings.refusalPrice = 0.05;
                 options.load = 1.6;
             }
             case "alone" -> {
-                settings.mayCancel = false;
-                settings.connectTimeout = 0;
-                settings.connectionIdle = 0;
-                settings.coldFrom = 0;
-                settings.coldFor = 0;
-                settings.fallMultiple = 0;
-                settings.fallFor = 0;
+                settings.cancelAllowed = false;
+                settings.connectTimeoutMicros = 0;
+                settings.idleConnectionTimeoutMicros = 0;
+                settings.warmUpInitialShare = 0;
+                settings.warmUpMicros = 0;
+                settings.collapseMultiple = 0;
+                settings.collapseWindowMicros = 0;
                 options.relays = 1;
             }
             case "large" -> {
-                settings.relays = 2_000;
+                settings.relayCount = 2_000;
                 options.load = 0.3;
             }
             default -> throw new IllegalArgumentException(name);
         }
-        settings.relays = Math.max(settings.relays, options.relays);
+        settings.relayCount = Math.max(settings.relayCount, options.relays);
         return new DecisionFleet(settings, options, seed).play();
     }
 
-    private static Settings settings() {
-        Settings settings = new Settings();
-        settings.relays = 2;
-        settings.slots = 16;
-        settings.holdLimit = 120;
-        settings.shotLimit = 8;
-        settings.mayCancel = true;
-        settings.listTellsRate = true;
-        settings.tellsPause = true;
-        settings.pauseLimit = 3 * SECOND;
-        settings.coldFrom = 0.18;
-        settings.coldFor = 6 * SECOND;
-        settings.fallMultiple = 2;
-        settings.fallFor = 2 * SECOND;
-        settings.connectTimeout = SECOND;
-        settings.connectionIdle = 10 * SECOND;
-        settings.settleAfterDoubt = 500 * MS;
-        settings.routesApart = new boolean[]{false, false, true};
-        settings.bundle = new int[]{1, 5, 1};
-        settings.fees = new double[2];
-        settings.offerings = new Settings.Offering[]{
-            new Settings.Offering(1, 0.1, SECOND, 8 * SECOND, Settings.Kind.REPEATABLE, false, 0, false),
-            new Settings.Offering(2, 0.4, 2 * SECOND, 12 * SECOND, Settings.Kind.TAGGED, true, 4 * SECOND,
+    private static PolicySettings settings() {
+        PolicySettings settings = new PolicySettings();
+        settings.relayCount = 2;
+        settings.maxConcurrentCalls = 16;
+        settings.maxOpenMessages = 120;
+        settings.maxAttempts = 8;
+        settings.cancelAllowed = true;
+        settings.listReportsRate = true;
+        settings.reportsRetryAfter = true;
+        settings.maxRetryAfterMicros = 3 * SECOND;
+        settings.warmUpInitialShare = 0.18;
+        settings.warmUpMicros = 6 * SECOND;
+        settings.collapseMultiple = 2;
+        settings.collapseWindowMicros = 2 * SECOND;
+        settings.connectTimeoutMicros = SECOND;
+        settings.idleConnectionTimeoutMicros = 10 * SECOND;
+        settings.settleAfterUncertainMicros = 500 * MS;
+        settings.limitPerEndpoint = new boolean[]{false, false, true};
+        settings.maxBatchSize = new int[]{1, 5, 1};
+        settings.zoneFees = new double[2];
+        settings.messageClasses = new PolicySettings.MessageClass[]{
+            new PolicySettings.MessageClass(1, 0.1, SECOND, 8 * SECOND,
+                PolicySettings.DeliverySemantics.IDEMPOTENT, false, 0, false),
+            new PolicySettings.MessageClass(2, 0.4, 2 * SECOND, 12 * SECOND,
+                PolicySettings.DeliverySemantics.DEDUPLICATED, true, 4 * SECOND,
                 false),
-            new Settings.Offering(1, 0.4, 3 * SECOND, 20 * SECOND, Settings.Kind.ONCE_ONLY, false, 0, false),
-            new Settings.Offering(3, 0.3, 3 * SECOND, 20 * SECOND, Settings.Kind.ONCE_ONLY, false, 0, true)};
+            new PolicySettings.MessageClass(1, 0.4, 3 * SECOND, 20 * SECOND,
+                PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, false),
+            new PolicySettings.MessageClass(3, 0.3, 3 * SECOND, 20 * SECOND,
+                PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, true)};
         return settings;
     }
 }
--- a/lab/src/test/java/yewpath/lab/DecisionFleet.java
+++ b/lab/src/test/java/yewpath/lab/DecisionFleet.java
@@ -9,9 +9,9 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.SplittableRandom;
-import yewpath.Egress;
-import yewpath.Logic;
-import yewpath.Settings;
+import yewpath.DeliveryPolicy;
+import yewpath.PolicyActions;
+import yewpath.PolicySettings;
 import yewpath.lab.core.Calendar;
 
 /**
@@ -61,7 +61,7 @@
         }
     }
 
-    private final Settings settings;
+    private final PolicySettings settings;
     private final Options options;
     private final SplittableRandom random;
     private final Calendar calendar = new Calendar();
@@ -71,7 +71,7 @@
     private final double[] limits = new double[DESTINATIONS];
     private final List<Relay> relays = new ArrayList<>();
 
-    DecisionFleet(Settings settings, Options options, long seed) {
+    DecisionFleet(PolicySettings settings, Options options, long seed) {
         this.settings = settings;
         this.options = options;
         random = new SplittableRandom(seed);
@@ -150,11 +150,11 @@
     }
 
     /** One relay: the module under test, and a record of what it asks for. */
-    private final class Relay implements Egress {
+    private final class Relay implements PolicyActions {
         private record Send(int message, int endpoint, long within) {}
 
         private final int index;
-        private final Logic logic;
+        private final DeliveryPolicy logic;
         private final List<Send> sends = new ArrayList<>();
         private final ArrayDeque<Integer> free = new ArrayDeque<>();
         private final List<Boolean> open = new ArrayList<>();
@@ -164,9 +164,9 @@
 
         Relay(int index, long seed) {
             this.index = index;
-            settings.self = index;
+            settings.relayIndex = index;
             settings.zone = index % 2;
-            logic = new Logic(settings, seed, this, 0);
+            logic = new DeliveryPolicy(settings, seed, this, 0);
         }
 
         private void record(String action, long... values) {
@@ -182,14 +182,15 @@
                 cancelled.add(false);
             }
             open.set(message, true);
-            int offering = random.nextInt(settings.offerings.length);
+            int offering = random.nextInt(settings.messageClasses.length);
             boolean restored = random.nextInt(40) == 0;
             boolean doubtful = restored && random.nextBoolean();
             attempts.set(message, restored ? 1 : 0);
-            int key = settings.offerings[offering].ordered() ? random.nextInt(KEYS) : -1;
+            int key = settings.messageClasses[offering].ordered() ? random.nextInt(KEYS) : -1;
             long now = calendar.now();
-            logic.at(now);
-            logic.taken(message, offering, 0, key, destination, now + settings.offerings[offering].expiry(),
+            logic.setTime(now);
+            logic.messageAccepted(message, offering, 0, key, destination,
+                now + settings.messageClasses[offering].timeToLiveMicros(),
                 restored ? 1 : 0, doubtful ? now - 500 * MS : -1, random.nextInt(2));
             if (random.nextInt(100) == 0) {
                 calendar.in(100 * MS, () -> withdraw(message));
@@ -198,41 +199,42 @@
 
         private void withdraw(int message) {
             if (open.get(message)) {
-                logic.at(calendar.now());
-                logic.withdrawn(message);
+                logic.setTime(calendar.now());
+                logic.messageWithdrawn(message);
                 open.set(message, false);
                 turn();
             }
         }
 
         void tellList(boolean whole) {
-            logic.at(calendar.now());
+            logic.setTime(calendar.now());
             if (random.nextInt(6) == 0) {
-                logic.listFailed();
+                logic.endpointListFailed();
                 turn();
                 return;
             }
-            logic.listBegins(whole, false);
+            logic.endpointListStarted(whole, false);
             for (int i = 0; i < endpoints.length; i++) {
                 Endpoint endpoint = endpoints[i];
                 if (endpoint.phase != GONE || told[i] && !whole) {
                     told[i] |= endpoint.phase != GONE;
-                    logic.listed(i, i % 2, endpoint.destination % 3, endpoint.destination, endpoint.phase,
+                    logic.endpointListed(i, i % 2, endpoint.destination % 3, endpoint.destination,
+                        endpoint.phase,
                         sizeOf(endpoint.destination), 0);
                 }
             }
-            logic.listEnds();
+            logic.endpointListEnded();
             turn();
         }
 
         void turn() {
-            logic.at(calendar.now());
-            logic.turn(true);
+            logic.setTime(calendar.now());
+            logic.completeRound(true);
             List<Send> now = List.copyOf(sends);
             sends.clear();
             for (int endpoint : now.stream().mapToInt(Send::endpoint).distinct().toArray()) {
                 List<Send> there = now.stream().filter(send -> send.endpoint == endpoint).toList();
-                int most = settings.bundle[endpoints[endpoint].destination % 3];
+                int most = settings.maxBatchSize[endpoints[endpoint].destination % 3];
                 for (int from = 0; from < there.size(); from += most) {
                     call(endpoints[endpoint], endpoint,
                         there.subList(from, Math.min(there.size(), from + most)));
@@ -244,18 +246,18 @@
             long began = calendar.now();
             State state = endpoint.phase == GONE ? State.TURNS_AWAY : endpoint.state;
             long warmFor = began - endpoint.backAt;
-            double warm = endpoint.backAt == 0 ? 1 : Math.min(1, 0.2 + 0.8 * warmFor / settings.coldFor);
+            double warm = endpoint.backAt == 0 ? 1 : Math.min(1, 0.2 + 0.8 * warmFor / settings.warmUpMicros);
             boolean full = ++taken[endpoint.destination] > limits[endpoint.destination] * warm;
             long quick = 40 * MS + random.nextLong(200 * MS);
             long within = carried.get(0).within > 0 ? carried.get(0).within : 15 * SECOND;
             boolean lost = state == State.LOSES_ANSWERS && random.nextInt(8) == 0;
             boolean stale = state == State.DROPS_IDLE && random.nextInt(3) == 0;
             int outcome = switch (state) {
-                case TURNS_AWAY, SILENT_CONNECT -> UNREACHED;
+                case TURNS_AWAY, SILENT_CONNECT -> UNREACHABLE;
                 case SILENT -> TIMEOUT;
-                case RESETS -> BROKEN;
+                case RESETS -> CONNECTION_LOST;
                 case ERRORS -> ERROR;
-                default -> stale ? STALE : lost ? TIMEOUT : full ? FULL : FULFILLED;
+                default -> stale ? STALE_CONNECTION : lost ? TIMEOUT : full ? OVERLOADED : DELIVERED;
             };
             long takes = switch (state) {
                 case TURNS_AWAY -> 2 * MS;
@@ -264,9 +266,10 @@
                 case SLOW -> 10 * quick;
                 default -> stale ? 5 * MS : lost ? within : full ? 25 * MS : quick;
             };
-            boolean outOfTime = takes >= within && outcome != UNREACHED;
+            boolean outOfTime = takes >= within && outcome != UNREACHABLE;
             int ended = outOfTime ? TIMEOUT : outcome;
-            long wait = ended == FULL && random.nextInt(3) == 0 ? 200 * MS + random.nextLong(4 * SECOND) : 0;
+            long wait = ended == OVERLOADED && random.nextInt(3) == 0 ? 200 * MS + random.nextLong(4 * SECOND)
+                : 0;
             double left = options.reports
                 ? Math.max(0, 1 - taken[endpoint.destination] / limits[endpoint.destination])
                 : Double.NaN;
@@ -278,14 +281,14 @@
 
         private void settle(int at, List<Send> carried, int outcome, long wait, long began, double left,
             double limit) {
-            logic.at(calendar.now());
+            logic.setTime(calendar.now());
             for (Send send : carried) {
                 int message = send.message;
-                boolean over = outcome == FULFILLED || !open.get(message);
+                boolean over = outcome == DELIVERED || !open.get(message);
                 int told = cancelled.get(message) && outcome == TIMEOUT ? CANCELLED : outcome;
                 cancelled.set(message, false);
                 open.set(message, open.get(message) && !over);
-                logic.settled(message, over, attempts.get(message) - 1, at, told, wait,
+                logic.attemptEnded(message, over, attempts.get(message) - 1, at, told, wait,
                     calendar.now() - began, left, limit);
             }
             turn();
@@ -299,51 +302,51 @@
         }
 
         @Override
-        public void defer(int message, long pauseMicros) {
+        public void reject(int message, long pauseMicros) {
             record("defer", message, pauseMicros);
             open.set(message, false);
         }
 
         @Override
-        public void abort(int message) {
+        public void fail(int message) {
             record("abort", message);
             open.set(message, false);
         }
 
         @Override
-        public void cancel(int message, int attempt) {
+        public void cancelAttempt(int message, int attempt) {
             record("cancel", message, attempt);
             cancelled.set(message, true);
         }
 
         @Override
-        public void close(int endpoint) {
+        public void closeIdleConnections(int endpoint) {
             record("close", endpoint);
         }
 
         @Override
-        public void forget(int endpoint) {
+        public void releaseEndpoint(int endpoint) {
             record("forget", endpoint);
             told[endpoint] = false;
         }
 
         @Override
-        public void health(int endpoint, boolean well) {
+        public void endpointHealthChanged(int endpoint, boolean well) {
             record("health", endpoint, well ? 1 : 0);
         }
 
         @Override
-        public void alarm(long inMicros) {
+        public void setAlarm(long inMicros) {
             record("alarm", inMicros);
             calendar.in(inMicros, () -> {
-                logic.at(calendar.now());
-                logic.due();
+                logic.setTime(calendar.now());
+                logic.alarmFired();
                 turn();
             });
         }
 
         @Override
-        public void list(boolean follow) {
+        public void requestEndpointList(boolean follow) {
             record("list", follow ? 1 : 0);
             calendar.in(30 * MS, () -> tellList(true));
         }
--- a/relay/src/main/java/yewpath/boot/Boot.java
+++ b/relay/src/main/java/yewpath/boot/Boot.java
@@ -3,11 +3,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewpath.Settings;
+import yewpath.PolicySettings;
 
 /** The settings by path, from either wire; keys it does not know are skipped, absent ones read as off. */
 public final class Boot {
-    public final Settings settings = new Settings();
+    public final PolicySettings settings = new PolicySettings();
     public final Names zones = new Names();
     public final Names kinds = new Names();
     public final Names offerings = new Names();
@@ -38,34 +38,34 @@
     public Boot(Map<String, String> pairs, boolean written) {
         this.pairs = pairs;
         this.written = written;
-        Settings s = settings;
-        s.relays = (int) number("balancers");
-        s.self = (int) number("ordinal");
-        s.slots = (int) number("family_info.max_calls");
-        s.holdLimit = (int) number("limits.max_open");
-        s.shotLimit = (int) number("limits.try_limit");
-        s.mayProbe = yes("limits.probes");
-        s.mayNote = yes("limits.peers");
-        s.mayCancel = yes("limits.cancel");
-        s.listAsked = "on_request".equals(pairs.get("discovery"));
-        s.rateIsRough = "rough".equals(pairs.get("weights"));
-        s.listTellsRate = s.rateIsRough || "nominal".equals(pairs.get("weights"));
-        s.halving = "by_half".equals(pairs.get("family_info.late"));
-        s.overShare = number("over_share_worth");
-        s.tellsPause = yes("limits.retry_after");
-        s.pauseLimit = micros("limits.max_retry_after_ms");
-        refuse(s.pauseLimit < 0,
+        PolicySettings s = settings;
+        s.relayCount = (int) number("balancers");
+        s.relayIndex = (int) number("ordinal");
+        s.maxConcurrentCalls = (int) number("family_info.max_calls");
+        s.maxOpenMessages = (int) number("limits.max_open");
+        s.maxAttempts = (int) number("limits.try_limit");
+        s.probesAllowed = yes("limits.probes");
+        s.peerMessagesAllowed = yes("limits.peers");
+        s.cancelAllowed = yes("limits.cancel");
+        s.listOnRequest = "on_request".equals(pairs.get("discovery"));
+        s.listedRateIsApproximate = "rough".equals(pairs.get("weights"));
+        s.listReportsRate = s.listedRateIsApproximate || "nominal".equals(pairs.get("weights"));
+        s.lateRevenueHalves = "by_half".equals(pairs.get("family_info.late"));
+        s.overShareWorth = number("over_share_worth");
+        s.reportsRetryAfter = yes("limits.retry_after");
+        s.maxRetryAfterMicros = micros("limits.max_retry_after_ms");
+        refuse(s.maxRetryAfterMicros < 0,
             "limits.max_retry_after_ms is below 0: " + pairs.get("limits.max_retry_after_ms"));
         s.refusalPrice = number("family_info.turned_away_price");
-        s.answerSlack = micros("rules.answer_slack_ms");
-        s.askEvery = micros("rules.ask_every_ms");
-        s.coldFrom = number("rules.cold_from");
-        s.coldFor = micros("rules.cold_ms");
-        s.fallMultiple = number("rules.fall_multiple");
-        s.fallFor = micros("rules.fall_ms");
-        s.settleAfterDoubt = micros("rules.settle_after_doubt_ms");
-        s.connectTimeout = micros("limits.connect_timeout_ms");
-        s.connectionIdle = micros("limits.conn_idle_ms");
+        s.answerSlackMicros = micros("rules.answer_slack_ms");
+        s.listRequestIntervalMicros = micros("rules.ask_every_ms");
+        s.warmUpInitialShare = number("rules.cold_from");
+        s.warmUpMicros = micros("rules.cold_ms");
+        s.collapseMultiple = number("rules.fall_multiple");
+        s.collapseWindowMicros = micros("rules.fall_ms");
+        s.settleAfterUncertainMicros = micros("rules.settle_after_doubt_ms");
+        s.connectTimeoutMicros = micros("limits.connect_timeout_ms");
+        s.idleConnectionTimeoutMicros = micros("limits.conn_idle_ms");
         String[] zoneNames = list("zones");
         for (String zone : zoneNames) {
             zones.of(zone);
@@ -74,39 +74,40 @@
         s.zone = locality == null ? -1 : zones.find(locality);
         refuse(locality != null && s.zone < 0, "locality: no such name in zones: " + locality);
         double crossing = part("prices.cross_zone", pairs.get("prices.cross_zone"));
-        s.crossingPrice = locality == null ? 0 : crossing;
+        s.crossZonePrice = locality == null ? 0 : crossing;
         String[] fees = list("family_info.carriage");
         asMany("family_info.carriage", fees, "zones", zoneNames);
-        s.fees = new double[fees.length];
+        s.zoneFees = new double[fees.length];
         for (int i = 0; i < fees.length; i++) {
-            s.fees[i] = part("family_info.carriage." + i, fees[i]);
+            s.zoneFees[i] = part("family_info.carriage." + i, fees[i]);
         }
         String[] kindNames = list("kinds");
         String[] apart = list("family_info.routes_apart");
         String[] bundle = list("family_info.bundle_max");
         asMany("family_info.routes_apart", apart, "kinds", kindNames);
         asMany("family_info.bundle_max", bundle, "kinds", kindNames);
-        s.routesApart = new boolean[kindNames.length];
-        s.bundle = new int[kindNames.length];
+        s.limitPerEndpoint = new boolean[kindNames.length];
+        s.maxBatchSize = new int[kindNames.length];
         for (int i = 0; i < kindNames.length; i++) {
             kinds.of(kindNames[i]);
-            s.routesApart[i] = i < apart.length && isYes(apart[i]);
-            s.bundle[i] = i < bundle.length ? (int) parse("family_info.bundle_max." + i, bundle[i]) : 1;
+            s.limitPerEndpoint[i] = i < apart.length && isYes(apart[i]);
+            s.maxBatchSize[i] = i < bundle.length ? (int) parse("family_info.bundle_max." + i, bundle[i]) : 1;
         }
-        s.offerings = new Settings.Offering[(int) number("request_classes.count")];
-        for (int i = 0; i < s.offerings.length; i++) {
+        s.messageClasses = new PolicySettings.MessageClass[(int) number("request_classes.count")];
+        for (int i = 0; i < s.messageClasses.length; i++) {
             String at = "request_classes." + i + ".";
             offerings.of(pairs.getOrDefault(at + "name", "#" + i));
-            s.offerings[i] = new Settings.Offering(number(at + "worth"), number(at + "late_worth"),
+            s.messageClasses[i] = new PolicySettings.MessageClass(number(at + "worth"),
+                number(at + "late_worth"),
                 micros(at + "on_time_ms"), micros(at + "give_up_ms"), kind(at + "repeat"),
                 "zone".equals(pairs.get(at + "group")), micros(at + "dedup_window_ms"),
                 yes(at + "fifo_by_key"));
         }
-        s.tenants = new Settings.Tenant[(int) number("tenants.count")];
+        s.tenants = new PolicySettings.Tenant[(int) number("tenants.count")];
         for (int i = 0; i < s.tenants.length; i++) {
             String at = "tenants." + i + ".";
             tenants.of(pairs.getOrDefault(at + "name", "#" + i));
-            s.tenants[i] = new Settings.Tenant(number(at + "quota_per_s"), number(at + "portion"));
+            s.tenants[i] = new PolicySettings.Tenant(number(at + "quota_per_s"), number(at + "portion"));
         }
         String[] report = list("load_report.fields");
         reportFields = List.of(report);
@@ -120,12 +121,13 @@
     }
 
     /** Of an effect that is not told, or not known, the most careful is taken; who wrote a word is told that it means nothing. */
-    private Settings.Kind kind(String path) {
+    private PolicySettings.DeliverySemantics kind(String path) {
         String word = pairs.getOrDefault(path, "side_effect");
         refuse(!List.of("pure", "token", "side_effect").contains(word),
             path + " is none of pure, token and side_effect: " + word);
-        return word.equals("pure") ? Settings.Kind.REPEATABLE
-            : word.equals("token") ? Settings.Kind.TAGGED : Settings.Kind.ONCE_ONLY;
+        return word.equals("pure") ? PolicySettings.DeliverySemantics.IDEMPOTENT
+            : word.equals("token") ? PolicySettings.DeliverySemantics.DEDUPLICATED
+                : PolicySettings.DeliverySemantics.AT_MOST_ONCE;
     }
 
     /** A share of an envelope's revenue; none where nothing is told. */
--- a/relay/src/main/java/yewpath/delivery/Answers.java
+++ b/relay/src/main/java/yewpath/delivery/Answers.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewpath.Egress;
+import yewpath.PolicyActions;
 import yewpath.http.Parser;
 import yewpath.json.Tokens;
 
@@ -16,17 +16,17 @@
         if (first && answer.status() == 503 && !answer.lasting() && answer.header("Retry-After") == null) {
             // Too many connections: closed at once without a word of a limit or a wait. It speaks of the table, not of the
             // limit; read as full, it took the pace away from relays that had hardly a connection.
-            return Egress.UNREACHED;
+            return PolicyActions.UNREACHABLE;
         }
         if (answer.status() == 503 && "1".equals(answer.header("X-Over-Slots"))) {
             // Says nothing of the endpoint: this relay had a call too many out, as one given up can still count.
-            return Egress.MOOT;
+            return PolicyActions.NOT_EXECUTED;
         }
         return switch (answer.status()) {
-            case 200 -> Egress.FULFILLED;
-            case 429, 503 -> Egress.FULL;
-            case 410, 504 -> Egress.MOOT;
-            default -> Egress.ERROR;
+            case 200 -> PolicyActions.DELIVERED;
+            case 429, 503 -> PolicyActions.OVERLOADED;
+            case 410, 504 -> PolicyActions.NOT_EXECUTED;
+            default -> PolicyActions.ERROR;
         };
     }
 
@@ -37,11 +37,11 @@
 
     static int outcomeOf(String state) {
         return switch (state) {
-            case "done" -> Egress.FULFILLED;
-            case "failed" -> Egress.ERROR;
-            case "busy" -> Egress.FULL;
-            case "void", "used_up" -> Egress.MOOT;
-            default -> Egress.BROKEN;
+            case "done" -> PolicyActions.DELIVERED;
+            case "failed" -> PolicyActions.ERROR;
+            case "busy" -> PolicyActions.OVERLOADED;
+            case "void", "used_up" -> PolicyActions.NOT_EXECUTED;
+            default -> PolicyActions.CONNECTION_LOST;
         };
     }
 
--- a/relay/src/main/java/yewpath/delivery/Call.java
+++ b/relay/src/main/java/yewpath/delivery/Call.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import yewpath.Egress;
+import yewpath.PolicyActions;
 import yewpath.http.ServerConnection;
 import yewpath.http.CloseReason;
 import yewpath.http.Parser;
@@ -77,13 +77,13 @@
             // An envelope sent alone may come again only once this call is over: several end together, but
             // none after its expiry.
             timers[i] = loop.after(Math.min(endsAt, one.expiry()) - loop.now(),
-                () -> giveUp(one, Egress.TIMEOUT));
+                () -> giveUp(one, PolicyActions.TIMEOUT));
             leaveTimers[i] = loop.after(one.leaveBy() - loop.now(), this::takeBackIfLate);
         }
     }
 
     public void cancel(Attempt one) {
-        giveUp(one, Egress.CANCELLED);
+        giveUp(one, PolicyActions.CANCELLED);
     }
 
     boolean isOver() {
@@ -102,7 +102,7 @@
     /** Ends a call of which the endpoint can't have the whole. */
     void takeBack() {
         connection.drop();
-        endAll(Egress.MOOT, 0, false);
+        endAll(PolicyActions.NOT_EXECUTED, 0, false);
     }
 
     /**
@@ -123,7 +123,7 @@
     void fault() {
         boolean left = connection.hasLeft();
         connection.drop();
-        endAll(left ? Egress.BROKEN : Egress.MOOT, 0, false);
+        endAll(left ? PolicyActions.CONNECTION_LOST : PolicyActions.NOT_EXECUTED, 0, false);
     }
 
     private void giveUp(Attempt one, int outcome) {
@@ -136,7 +136,8 @@
             connection.close(CloseReason.INCOMPLETE_ANSWER);
             return;
         }
-        if (!begun || !connection.isSent() && (outcome == Egress.CANCELLED || loop.now() >= one.expiry())) {
+        if (!begun
+            || !connection.isSent() && (outcome == PolicyActions.CANCELLED || loop.now() >= one.expiry())) {
             // Nothing of it has arrived whole: a once-only envelope is not in doubt for a connection slow to open.
             takeBack();
             return;
@@ -275,7 +276,7 @@
             }
         }
         // What a bulk answer doesn't name, or names in words unknown, may have run.
-        endAll(Egress.BROKEN, wait, false);
+        endAll(PolicyActions.CONNECTION_LOST, wait, false);
     }
 
     /**
@@ -290,9 +291,13 @@
     @Override
     public void failed(boolean sent, Parser answer) {
         if (saidDelivered()) {
-            endAll(Egress.FULFILLED, 0, true);
+            endAll(PolicyActions.DELIVERED, 0, true);
         } else {
-            endAll(!sent ? Egress.UNREACHED : connection.isKeptInVain() ? Egress.STALE : Egress.BROKEN, 0,
+            endAll(
+                !sent ? PolicyActions.UNREACHABLE
+                    : connection.isKeptInVain() ? PolicyActions.STALE_CONNECTION
+                        : PolicyActions.CONNECTION_LOST,
+                0,
                 false);
         }
     }
--- a/relay/src/main/java/yewpath/relay/Config.java
+++ b/relay/src/main/java/yewpath/relay/Config.java
@@ -72,11 +72,11 @@
         }
         seed = Long.parseUnsignedLong(told, 16);
         boot = new Boot(settings, true);
-        if (boot.settings.offerings.length == 0) {
+        if (boot.settings.messageClasses.length == 0) {
             throw new IllegalArgumentException("settings name no request_classes");
         }
-        limits = new Limits(name -> figure(flat, "limits." + name), boot.settings.connectTimeout,
-            boot.settings.connectionIdle, operator);
+        limits = new Limits(name -> figure(flat, "limits." + name), boot.settings.connectTimeoutMicros,
+            boot.settings.idleConnectionTimeoutMicros, operator);
     }
 
     private static double figure(Map<String, String> flat, String path) {
--- a/relay/src/main/java/yewpath/relay/Endpoints.java
+++ b/relay/src/main/java/yewpath/relay/Endpoints.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.Arrays;
 import java.util.BitSet;
-import yewpath.Logic;
+import yewpath.DeliveryPolicy;
 import yewpath.boot.Boot;
 import yewpath.boot.Names;
 import yewpath.delivery.Delivery;
@@ -16,7 +16,7 @@
     private static final int UP = 0;
 
     private final Boot boot;
-    private final Logic logic;
+    private final DeliveryPolicy logic;
     private final Delivery delivery;
     private final Names ids = new Names();
     private final Names destinations = new Names();
@@ -31,7 +31,7 @@
     private final BitSet unnamed = new BitSet();
     private boolean starting;
 
-    Endpoints(Boot boot, Logic logic, Delivery delivery) {
+    Endpoints(Boot boot, DeliveryPolicy logic, Delivery delivery) {
         this.boot = boot;
         this.logic = logic;
         this.delivery = delivery;
@@ -81,7 +81,7 @@
         if (whole) {
             unnamed.or(known);
         }
-        logic.listBegins(whole, starting);
+        logic.endpointListStarted(whole, starting);
     }
 
     @Override
@@ -98,8 +98,9 @@
         known.set(at);
         unnamed.clear(at);
         zones[at] = zone;
-        bundles[at] = kindAt < boot.settings.bundle.length ? boot.settings.bundle[kindAt] : 1;
-        boolean apart = kindAt < boot.settings.routesApart.length && boot.settings.routesApart[kindAt];
+        bundles[at] = kindAt < boot.settings.maxBatchSize.length ? boot.settings.maxBatchSize[kindAt] : 1;
+        boolean apart = kindAt < boot.settings.limitPerEndpoint.length
+            && boot.settings.limitPerEndpoint[kindAt];
         int to = destinations.of(destination);
         served.set(to);
         routes[at] = apart ? -1 - at : to;
@@ -111,7 +112,7 @@
             Log.tell(Event.ENDPOINT_LISTED, id, address, destination,
                 phase == UP ? "up" : phase == 1 ? "draining" : "removed");
         }
-        logic.listed(at, boot.zones.of(zone), kindAt, to, phase, rate, since);
+        logic.endpointListed(at, boot.zones.of(zone), kindAt, to, phase, rate, since);
     }
 
     void forget(int endpoint) {
@@ -123,6 +124,6 @@
     @Override
     public void ends() {
         unnamed.stream().forEach(delivery::shut);
-        logic.listEnds();
+        logic.endpointListEnded();
     }
 }
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import yewpath.Egress;
-import yewpath.Logic;
-import yewpath.Settings;
+import yewpath.DeliveryPolicy;
+import yewpath.PolicyActions;
+import yewpath.PolicySettings;
 import yewpath.boot.Boot;
 import yewpath.delivery.Call;
 import yewpath.delivery.Delivery;
@@ -29,7 +29,7 @@
  * The one that speaks with Logic. A round: what was gathered is handed in, Logic closes the round, the ledger
  * is written, and only then does anything leave that rests on it.
  */
-final class Relay implements Egress, MessageIntake {
+final class Relay implements PolicyActions, MessageIntake {
     /** One call to make: an endpoint and what Logic sent there in this round. */
     private static final class Sending {
         final int endpoint;
@@ -50,7 +50,7 @@
     private final Ledger ledger;
     private final LedgerWriter ledgerWriter;
     private final Boot boot;
-    private final Logic logic;
+    private final DeliveryPolicy logic;
     private final Delivery delivery;
     private final Notices notices;
     private final Endpoints endpoints;
@@ -78,30 +78,30 @@
         this.ledger = ledger;
         boot = config.boot;
         Limits limits = config.limits;
-        Settings settings = boot.settings;
-        unknownOffering = settings.offerings.length;
+        PolicySettings settings = boot.settings;
+        unknownOffering = settings.messageClasses.length;
         if (ledger.live().stream().anyMatch(entry -> boot.offerings.find(entry.offering) < 0)) {
             addUnknown(settings);
         }
         // A call that finds all connections in use would have none: what Logic may have out is what can be held.
-        settings.slots = Math.min(settings.slots, limits.endpointLinks());
-        holdLimit = settings.holdLimit > 0 ? settings.holdLimit : Integer.MAX_VALUE;
-        tellsPause = settings.tellsPause;
-        envelopes = new HeldMessages(settings.settleAfterDoubt);
+        settings.maxConcurrentCalls = Math.min(settings.maxConcurrentCalls, limits.endpointLinks());
+        holdLimit = settings.maxOpenMessages > 0 ? settings.maxOpenMessages : Integer.MAX_VALUE;
+        tellsPause = settings.reportsRetryAfter;
+        envelopes = new HeldMessages(settings.settleAfterUncertainMicros);
         closing = new Shutdown(loop, limits);
         notices = new Notices(loop, limits, config.discovery, this::told);
         ledgerWriter = new LedgerWriter(loop, ledger, notices::add);
         delivery = new Delivery(loop, limits, boot.reportFields, ledgerWriter::flush);
         loop.eachRound(this::round);
-        logic = new Logic(settings, config.seed, this, loop.now());
+        logic = new DeliveryPolicy(settings, config.seed, this, loop.now());
         endpoints = new Endpoints(boot, logic, delivery);
         watch = new Watch(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
-            settings.listAsked ? () -> loop.gather(logic::listFailed) : null);
-        if (!settings.listAsked) {
+            settings.listOnRequest ? () -> loop.gather(logic::endpointListFailed) : null);
+        if (!settings.listOnRequest) {
             watch.follow();
         }
         ledger.live().forEach(this::restore);
-        listBy = settings.listAsked ? 0 : loop.now() + limits.connectWithin();
+        listBy = settings.listOnRequest ? 0 : loop.now() + limits.connectWithin();
         loop.after(limits.connectWithin(), loop::ask);
         loop.ask();
     }
@@ -121,14 +121,16 @@
      * Guards against giving up, untried, what an earlier life took on under a name that the settings don't have any more. Of
      * its kind nothing is known, so it is handled with the most care: sent once, in the order of its key, after the others.
      */
-    private static void addUnknown(Settings settings) {
-        int last = settings.offerings.length;
-        double revenue = Arrays.stream(settings.offerings).mapToDouble(Settings.Offering::revenue).min()
+    private static void addUnknown(PolicySettings settings) {
+        int last = settings.messageClasses.length;
+        double revenue = Arrays.stream(settings.messageClasses)
+            .mapToDouble(PolicySettings.MessageClass::revenue).min()
             .orElse(0);
-        long expiry = Arrays.stream(settings.offerings).mapToLong(Settings.Offering::expiry).max().orElse(0);
-        settings.offerings = Arrays.copyOf(settings.offerings, last + 1);
-        settings.offerings[last] = new Settings.Offering(revenue, revenue, expiry, expiry,
-            Settings.Kind.ONCE_ONLY, false, 0, true);
+        long expiry = Arrays.stream(settings.messageClasses)
+            .mapToLong(PolicySettings.MessageClass::timeToLiveMicros).max().orElse(0);
+        settings.messageClasses = Arrays.copyOf(settings.messageClasses, last + 1);
+        settings.messageClasses[last] = new PolicySettings.MessageClass(revenue, revenue, expiry, expiry,
+            PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, true);
     }
 
     private void restore(Entry entry) {
@@ -146,7 +148,8 @@
 
     private void hand(HeldMessage one, int offering, int doubtZone) {
         Entry entry = one.entry;
-        logic.taken(one.index, offering, entry.tenant == null ? -1 : boot.tenants.find(entry.tenant), one.key,
+        logic.messageAccepted(one.index, offering,
+            entry.tenant == null ? -1 : boot.tenants.find(entry.tenant), one.key,
             endpoints.destination(entry.destination), entry.expiry, entry.shots, entry.doubtSince, doubtZone);
     }
 
@@ -155,10 +158,10 @@
     private void round() {
         rounds++;
         long now = loop.now();
-        logic.at(now);
+        logic.setTime(now);
         loop.playGathered();
         boolean maySend = closing.mayShoot(now) && !listIsOld(now) && ledger.isWritable();
-        Loop.safely(() -> logic.turn(maySend));
+        Loop.safely(() -> logic.completeRound(maySend));
         joining.clear();
         if (!ledgerWriter.flush()) {
             refuseTaken();
@@ -267,7 +270,7 @@
         if (Log.tells(Event.ENVELOPE_REFUSED)) {
             Log.tell(Event.ENVELOPE_REFUSED, id, why);
         }
-        reply.with(503, tellsPause ? logic.awayFor() : 0);
+        reply.with(503, tellsPause ? logic.resubmitDelayMicros() : 0);
     }
 
     /** The first thing to leave in a round: that envelopes handed in are taken on. */
@@ -296,7 +299,7 @@
 
     private void letGo(HeldMessage one) {
         if (!one.over) {
-            logic.withdrawn(one.index);
+            logic.messageWithdrawn(one.index);
             ledger.over(one.entry);
             envelopes.end(one, loop.now());
         }
@@ -329,7 +332,7 @@
         for (HeldMessage one : sending.carried) {
             one.attempt = new Shot(one, sending.endpoint);
             if (one.left) {
-                one.attempt.ended(MOOT, 0, true, Double.NaN, Double.NaN);
+                one.attempt.ended(NOT_EXECUTED, 0, true, Double.NaN, Double.NaN);
                 one.attempt.callOver();
             } else if (isOrdered(one.entry) && keyOrder.isHeld(one.entry.key)) {
                 Call waits = delivery.prepare(sending.endpoint, List.of(one.attempt), sending.endsAt);
@@ -347,7 +350,7 @@
     /** One of an offering that is not known any more may have been. */
     private boolean isOrdered(Entry entry) {
         int offering = boot.offerings.find(entry.offering);
-        return entry.key != null && (offering < 0 || boot.settings.offerings[offering].ordered());
+        return entry.key != null && (offering < 0 || boot.settings.messageClasses[offering].ordered());
     }
 
     /** An envelope's part in a call, and what its end leaves to be done. */
@@ -420,16 +423,18 @@
 
         private void settle(int outcome, long wait, boolean over, long elapsed, double left, double limit) {
             if (over && !one.over) {
-                fulfilledEver += outcome == FULFILLED ? 1 : 0;
+                fulfilledEver += outcome == DELIVERED ? 1 : 0;
                 ledger.over(one.entry);
             } else if (!one.over) {
-                ledger.back(one.entry, outcome == FULL || outcome == UNREACHED || outcome == MOOT);
+                ledger.back(one.entry,
+                    outcome == OVERLOADED || outcome == UNREACHABLE || outcome == NOT_EXECUTED);
             }
             one.call = null;
             if (Log.tells(Event.ENVELOPE_BACK)) {
                 tellEnd(outcome, wait, over, elapsed);
             }
-            logic.settled(one.index, over || one.over, number, endpoint, outcome, wait, elapsed, left, limit);
+            logic.attemptEnded(one.index, over || one.over, number, endpoint, outcome, wait, elapsed, left,
+                limit);
             one.shotsOut--;
             if (over) {
                 envelopes.end(one, loop.now());
@@ -450,7 +455,7 @@
     }
 
     @Override
-    public void cancel(int envelope, int shot) {
+    public void cancelAttempt(int envelope, int shot) {
         HeldMessage one = envelopes.at(envelope);
         acts.add(() -> {
             // An envelope has one shot out at most: the one meant.
@@ -461,30 +466,30 @@
     }
 
     @Override
-    public void close(int endpoint) {
+    public void closeIdleConnections(int endpoint) {
         acts.add(() -> delivery.closeIdle(endpoint));
     }
 
     @Override
-    public void forget(int endpoint) {
+    public void releaseEndpoint(int endpoint) {
         endpoints.forget(endpoint);
     }
 
     @Override
-    public void health(int endpoint, boolean well) {
+    public void endpointHealthChanged(int endpoint, boolean well) {
         Log.tell(well ? Event.ENDPOINT_WELL : Event.ENDPOINT_SICK, endpoints.name(endpoint));
     }
 
     // ---- Ends
 
     @Override
-    public void defer(int envelope, long pauseMicros) {
+    public void reject(int envelope, long pauseMicros) {
         deferredEver++;
         finish(envelopes.at(envelope), true, tellsPause ? pauseMicros : 0);
     }
 
     @Override
-    public void abort(int envelope) {
+    public void fail(int envelope) {
         abortedEver++;
         finish(envelopes.at(envelope), false, 0);
     }
@@ -525,12 +530,12 @@
     // ---- Time and list
 
     @Override
-    public void alarm(long inMicros) {
-        loop.after(inMicros, () -> loop.gather(logic::due));
+    public void setAlarm(long inMicros) {
+        loop.after(inMicros, () -> loop.gather(logic::alarmFired));
     }
 
     @Override
-    public void list(boolean follow) {
+    public void requestEndpointList(boolean follow) {
         acts.add(follow ? watch::follow : watch::fetch);
     }
 
--- a/relay/src/main/java/yewpath/wirehost/Instance.java
+++ b/relay/src/main/java/yewpath/wirehost/Instance.java
@@ -1,16 +1,16 @@
 package yewpath.wirehost;
 
 import java.util.Arrays;
-import yewpath.Egress;
-import yewpath.Logic;
-import yewpath.Settings;
+import yewpath.DeliveryPolicy;
+import yewpath.PolicyActions;
+import yewpath.PolicySettings;
 import yewpath.boot.Boot;
 import yewpath.boot.Keys;
 import yewpath.boot.Names;
 
 /** One relay on the wire: its Logic, its id tables and the actions it has asked for in this round. */
-final class Instance implements Egress {
-    final Logic logic;
+final class Instance implements PolicyActions {
+    final DeliveryPolicy logic;
     final Names envelopes = new Names();
     final Names endpoints = new Names();
     final Names destinations = new Names();
@@ -28,21 +28,21 @@
     private long now;
 
     Instance(Boot boot, long seed, long now) {
-        Settings settings = boot.settings;
+        PolicySettings settings = boot.settings;
         zones = boot.zones;
         kinds = boot.kinds;
         offerings = boot.offerings;
         tenants = boot.tenants;
         leftColumn = boot.leftColumn;
         limitColumn = boot.limitColumn;
-        keys = new Keys(settings.settleAfterDoubt);
+        keys = new Keys(settings.settleAfterUncertainMicros);
         this.now = now;
-        logic = new Logic(settings, seed, this, now);
+        logic = new DeliveryPolicy(settings, seed, this, now);
     }
 
     void at(long clock) {
         now = clock;
-        logic.at(clock);
+        logic.setTime(clock);
     }
 
     int zone(String name) {
@@ -115,42 +115,42 @@
     }
 
     @Override
-    public void defer(int envelope, long pauseMicros) {
+    public void reject(int envelope, long pauseMicros) {
         actions.append("DECLINE\t").append(envelopes.name(envelope)).append('\t');
         millis(pauseMicros).append('\n');
         ended(envelope);
     }
 
     @Override
-    public void abort(int envelope) {
+    public void fail(int envelope) {
         actions.append("REPORT_FAILURE\t").append(envelopes.name(envelope)).append('\n');
         ended(envelope);
     }
 
     @Override
-    public void cancel(int envelope, int shot) {
+    public void cancelAttempt(int envelope, int shot) {
         actions.append("ABORT_ATTEMPT\t").append(envelopes.name(envelope)).append('\t').append(shot)
             .append('\n');
     }
 
     @Override
-    public void close(int endpoint) {
+    public void closeIdleConnections(int endpoint) {
         actions.append("DISCONNECT\t").append(endpoints.name(endpoint)).append('\n');
     }
 
     @Override
-    public void forget(int endpoint) {
+    public void releaseEndpoint(int endpoint) {
         endpoints.letGo(endpoint);
     }
 
     @Override
-    public void alarm(long inMicros) {
+    public void setAlarm(long inMicros) {
         actions.append("SET_ALARM\tturn\t");
         millis(inMicros).append('\n');
     }
 
     @Override
-    public void list(boolean follow) {
+    public void requestEndpointList(boolean follow) {
         actions.append(follow ? "KEEP_INFORMED\t1\n" : "GET_LIST\n");
     }
 }
--- a/relay/src/main/java/yewpath/wirehost/WireHost.java
+++ b/relay/src/main/java/yewpath/wirehost/WireHost.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewpath.Logic;
+import yewpath.DeliveryPolicy;
 import yewpath.boot.Boot;
 import yewpath.boot.Malformed;
 
@@ -94,7 +94,7 @@
         }
         for (Map.Entry<Integer, Instance> entry : touched.entrySet()) {
             try {
-                entry.getValue().logic.turn(true);
+                entry.getValue().logic.completeRound(true);
             } catch (RuntimeException e) {
                 fatal = fatal == null ? told(e) : fatal;
             }
@@ -137,7 +137,7 @@
             case "HANGUP" -> hangup(f);
             case "DUE" -> {
                 need(f, 2);
-                instance().logic.due();
+                instance().logic.alarmFired();
             }
             case "PONG" -> pong(f);
             case "DATAGRAM" -> datagram(f);
@@ -202,9 +202,9 @@
     private void list(String[] f) {
         need(f, 4);
         Instance instance = instance();
-        Logic logic = instance.logic;
+        DeliveryPolicy logic = instance.logic;
         if (f[1].equals("failed")) {
-            logic.listFailed();
+            logic.endpointListFailed();
             return;
         }
         boolean whole = f[1].equals("full") || f[1].equals("cached");
@@ -215,12 +215,12 @@
         if (number < 0 || number >= PAGES || pages[number] == null) {
             throw new Malformed("no page " + f[3]);
         }
-        logic.listBegins(whole, f[1].equals("cached"));
+        logic.endpointListStarted(whole, f[1].equals("cached"));
         for (String[] e : pages[number]) {
-            logic.listed(instance.endpoints.of(e[1]), instance.zone(e[2]), instance.kind(e[3]),
+            logic.endpointListed(instance.endpoints.of(e[1]), instance.zone(e[2]), instance.kind(e[3]),
                 instance.destinations.of(e[4]), "ULD".indexOf(e[5].charAt(0)), decimal(e[6]), micros(e[7]));
         }
-        logic.listEnds();
+        logic.endpointListEnded();
     }
 
     private void ingress(String[] f) {
@@ -236,7 +236,8 @@
         }
         int destination = instance.destinations.of(f[7]);
         int envelope = instance.take(f[1], f[4].equals("-") ? null : f[4]);
-        instance.logic.taken(envelope, offering, instance.tenants.find(f[3]), instance.keyOf(envelope),
+        instance.logic.messageAccepted(envelope, offering, instance.tenants.find(f[3]),
+            instance.keyOf(envelope),
             destination, expiry, 0, -1, 0);
     }
 
@@ -255,7 +256,7 @@
         }
         double detail = decimal(f[5]);
         String[] report = report(f[8]);
-        instance.logic.settled(envelope, over, integer(f[3]), endpoint, outcome,
+        instance.logic.attemptEnded(envelope, over, integer(f[3]), endpoint, outcome,
             outcome == 2 ? Math.round(detail * 1000) : 0, micros(f[6]),
             column(report, instance.leftColumn), column(report, instance.limitColumn));
         if (over && !instance.isOver(envelope)) {
@@ -269,7 +270,7 @@
         Instance instance = instance();
         int envelope = instance.envelopes.find(f[1]);
         if (envelope >= 0 && !instance.isOver(envelope)) {
-            instance.logic.withdrawn(envelope);
+            instance.logic.messageWithdrawn(envelope);
             instance.ended(envelope);
         }
     }
--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -128,7 +128,7 @@
             Attempt cargo = new Attempt("late", 20_000_000, 300_000);
             send(cargo, at(deaf.address()));
             until("it is taken back, its connection not up yet", 1_500, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(Egress.MOOT));
+            assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
         }
     }
 
@@ -139,11 +139,12 @@
             cargo.body = null;
             send(cargo, at(endpoint.address()));
             until("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(Egress.MOOT));
+            assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
             assertEquals(delivery.callsOut(), 0);
             Attempt next = new Attempt("next", 20_000_000, 20_000_000);
             send(next, at(endpoint.address()));
-            until("the next goes as ever", 2_000, () -> next.outcomes.equals(List.of(Egress.FULFILLED)));
+            until("the next goes as ever", 2_000,
+                () -> next.outcomes.equals(List.of(PolicyActions.DELIVERED)));
         }
     }
 
@@ -166,7 +167,7 @@
             });
             assertTrue(held.await(5, TimeUnit.SECONDS));
             until("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(Egress.FULFILLED));
+            assertEquals(cargo.outcomes, List.of(PolicyActions.DELIVERED));
         }
     }
 
@@ -182,11 +183,11 @@
             Attempt b = new Attempt("b", 20_000_000, 20_000_000);
             Attempt c = new Attempt("c", 20_000_000, 20_000_000);
             sendTogether(at(endpoint.address()), a, b);
-            until("one is refused", 2_000, () -> b.outcomes.equals(List.of(Egress.FULL)));
+            until("one is refused", 2_000, () -> b.outcomes.equals(List.of(PolicyActions.OVERLOADED)));
             sendTogether(at(endpoint.address()), b, c);
             until("both are delivered", 2_000, () -> c.outcomes.size() == 1);
-            assertEquals(b.outcomes, List.of(Egress.FULL, Egress.FULFILLED));
-            assertEquals(c.outcomes, List.of(Egress.FULFILLED));
+            assertEquals(b.outcomes, List.of(PolicyActions.OVERLOADED, PolicyActions.DELIVERED));
+            assertEquals(c.outcomes, List.of(PolicyActions.DELIVERED));
         }
     }
 
@@ -202,7 +203,7 @@
                 assertTrue(peer.getInputStream().read() >= 0);
                 peer.getOutputStream().write(OK.getBytes(StandardCharsets.ISO_8859_1));
                 until("it has its end", 3_000, () -> cargo.outcomes.size() == 1);
-                assertEquals(cargo.outcomes, List.of(Egress.UNREACHED));
+                assertEquals(cargo.outcomes, List.of(PolicyActions.UNREACHABLE));
             }
         }
     }
--- a/relay/src/test/java/yewpath/DeliveryTest.java
+++ b/relay/src/test/java/yewpath/DeliveryTest.java
@@ -193,7 +193,7 @@
                 case "id" -> "q" + outcomes.get();
                 case "body" -> new byte[0];
                 case "expiry", "leaveBy" -> loop.now() + 5_000_000;
-                case "ended" -> outcomes.addAndGet((int) args[0] == Egress.FULFILLED ? 1 : 100);
+                case "ended" -> outcomes.addAndGet((int) args[0] == PolicyActions.DELIVERED ? 1 : 100);
                 case "equals" -> proxy == args[0];
                 default -> null;
             });
--- a/relay/src/test/java/yewpath/SettingsTest.java
+++ b/relay/src/test/java/yewpath/SettingsTest.java
@@ -27,36 +27,37 @@
 
     @Test
     public void areTakenAsTold() throws Exception {
-        Settings told = read("\"zones\": [\"here\"],",
+        PolicySettings told = read("\"zones\": [\"here\"],",
             "\"zones\": [\"north\", \"south\"], \"locality\": \"south\","
                 + " \"prices\": {\"cross_zone\": 0.03},").boot.settings;
         assertEquals(told.zone, 1);
-        assertEquals(told.crossingPrice, 0.03);
-        Settings fees = read("\"family_info\": {", "\"family_info\": {\"carriage\": [0.06],").boot.settings;
-        assertEquals(fees.fees, new double[]{0.06});
+        assertEquals(told.crossZonePrice, 0.03);
+        PolicySettings fees = read("\"family_info\": {",
+            "\"family_info\": {\"carriage\": [0.06],").boot.settings;
+        assertEquals(fees.zoneFees, new double[]{0.06});
     }
 
     @Test
     public void changeNothingWhereAbsent() throws Exception {
-        Settings told = read("\"zones\"", "\"zones\"").boot.settings;
-        assertEquals(told.crossingPrice, 0.0);
-        assertEquals(told.fees.length, 0);
+        PolicySettings told = read("\"zones\"", "\"zones\"").boot.settings;
+        assertEquals(told.crossZonePrice, 0.0);
+        assertEquals(told.zoneFees.length, 0);
         // Where no zone is this relay's own, a price for crossing can't be due.
         assertEquals(
-            read("\"zones\"", "\"prices\": {\"cross_zone\": 0.03}, \"zones\"").boot.settings.crossingPrice,
+            read("\"zones\"", "\"prices\": {\"cross_zone\": 0.03}, \"zones\"").boot.settings.crossZonePrice,
             0.0);
     }
 
     /** Guards against a simulator's wire ending the process: there a list may be of another length than the names. */
     @Test
     public void areTakenAsTheyAreFromAWire() {
-        Settings told = Boot
+        PolicySettings told = Boot
             .ofFields(new String[]{"kinds=a,b", "zones=n,s", "locality=elsewhere", "prices.cross_zone=0.03",
                 "family_info.routes_apart=true,false,false", "family_info.bundle_max=5,1,1",
                 "family_info.carriage=0.1"}, 0).settings;
-        assertEquals(told.routesApart, new boolean[]{true, false});
+        assertEquals(told.limitPerEndpoint, new boolean[]{true, false});
         assertEquals(told.zone, -1);
-        assertEquals(told.fees.length, 1);
+        assertEquals(told.zoneFees.length, 1);
     }
 
     /** Two deployments, one after the other in one process: neither knows a name of the other. */
@@ -76,18 +77,19 @@
             Files.delete(file);
         }
         assertEquals(second.offerings.find("c1"), 0);
-        assertEquals(second.settings.offerings.length, 1);
-        assertEquals(second.settings.offerings[0].kind(), Settings.Kind.TAGGED);
-        assertEquals(second.settings.offerings[0].memory(), 1_000_000);
+        assertEquals(second.settings.messageClasses.length, 1);
+        assertEquals(second.settings.messageClasses[0].semantics(),
+            PolicySettings.DeliverySemantics.DEDUPLICATED);
+        assertEquals(second.settings.messageClasses[0].deduplicationMicros(), 1_000_000);
         assertEquals(second.zones.find("here") + second.kinds.find("plain") + second.tenants.find("demo"),
             -3);
-        for (int i = 0; i < first.settings.offerings.length; i++) {
+        for (int i = 0; i < first.settings.messageClasses.length; i++) {
             assertEquals(second.offerings.find(first.offerings.name(i)), -1, first.offerings.name(i));
         }
         Boot again = read("\"zones\"", "\"zones\"").boot;
-        assertEquals(again.settings.offerings, first.settings.offerings);
+        assertEquals(again.settings.messageClasses, first.settings.messageClasses);
         assertEquals(again.offerings.find("c1"), -1);
-        assertEquals(again.settings.slots, first.settings.slots);
+        assertEquals(again.settings.maxConcurrentCalls, first.settings.maxConcurrentCalls);
     }
 
     @DataProvider
