--- a/decisions/src/main/java/yewpath/DeliveryPolicy.java
+++ b/decisions/src/main/java/yewpath/DeliveryPolicy.java
@@ -623,36 +623,7 @@
             return;
         }
         if (outcome == PolicyActions.DELIVERED) {
-            Route r = target.route;
-            r.fulls /= 2;
-            // Raised by answers, not by time: where many relays send little each, a raise a tick outran cuts.
-            double raise = PACE_UP * (1 + r.answers++ / QUIET) * max(PACE_START * rateOf(r) / relays, r.pace);
-            raise = now - r.pressedAt < TICK ? raise : 0;
-            r.pace = min(max(r.pace, rateOf(r)), r.pace + raise);
-            if (target.callCap < NO_CAP && now - target.crowdedAt > SECOND) {
-                target.callCap++;
-                target.crowdedAt = now;
-            }
-            boolean alone = target.badRun == 1 && elapsed < 2 * target.lat;
-            lost += 0.03 * ((alone && target.lastBad == PolicyActions.TIMEOUT ? 1 : 0) - lost);
-            stale *= 0.97;
-            renewUntil = max(lost, stale) > 2 * LOSSY ? now + RENEW_FOR : renewUntil;
-            target.badRun = 0;
-            target.ill *= 0.8;
-            usual += 0.05 * (min(elapsed, 4 * usual) - usual);
-            double off = min(elapsed, 4 * target.lat) - target.lat;
-            target.lat += 0.15 * off;
-            target.spread += 0.15 * (Math.abs(off) - target.spread);
-            // Guards against ramps where answers get lost: one in time to a call from before ends no outage.
-            boolean falseAlarm = call.sentAt <= target.sickSince && elapsed < SECOND;
-            if (target.sickSince >= 0 && !falseAlarm && (target.ill >= 0.15 || target.mayHaveRun)) {
-                // As they mostly go together, so they return: each is ramped, and doubted sooner.
-                Arrays.stream(call.to.endpoints).filter(i -> i == target || i.sickSince >= 0
-                    && i.route == target.route).forEach(this::back);
-            } else if (target.backSince >= 0) {
-                target.backCap++;
-            }
-            well(target);
+            learnDelivered(call, elapsed);
             return;
         }
         target.lastAnswer = outcome == PolicyActions.ERROR || outcome >= PolicyActions.CONNECTION_LOST ? now
@@ -695,6 +666,40 @@
         }
     }
 
+    private void learnDelivered(Call call, long elapsed) {
+        Endpoint target = call.endpoint;
+        Route r = target.route;
+        r.fulls /= 2;
+        // Raised by answers, not by time: where many relays send little each, a raise a tick outran cuts.
+        double raise = PACE_UP * (1 + r.answers++ / QUIET) * max(PACE_START * rateOf(r) / relays, r.pace);
+        raise = now - r.pressedAt < TICK ? raise : 0;
+        r.pace = min(max(r.pace, rateOf(r)), r.pace + raise);
+        if (target.callCap < NO_CAP && now - target.crowdedAt > SECOND) {
+            target.callCap++;
+            target.crowdedAt = now;
+        }
+        boolean alone = target.badRun == 1 && elapsed < 2 * target.lat;
+        lost += 0.03 * ((alone && target.lastBad == PolicyActions.TIMEOUT ? 1 : 0) - lost);
+        stale *= 0.97;
+        renewUntil = max(lost, stale) > 2 * LOSSY ? now + RENEW_FOR : renewUntil;
+        target.badRun = 0;
+        target.ill *= 0.8;
+        usual += 0.05 * (min(elapsed, 4 * usual) - usual);
+        double off = min(elapsed, 4 * target.lat) - target.lat;
+        target.lat += 0.15 * off;
+        target.spread += 0.15 * (Math.abs(off) - target.spread);
+        // Guards against ramps where answers get lost: one in time to a call from before ends no outage.
+        boolean falseAlarm = call.sentAt <= target.sickSince && elapsed < SECOND;
+        if (target.sickSince >= 0 && !falseAlarm && (target.ill >= 0.15 || target.mayHaveRun)) {
+            // As they mostly go together, so they return: each is ramped, and doubted sooner.
+            Arrays.stream(call.to.endpoints).filter(i -> i == target || i.sickSince >= 0
+                && i.route == target.route).forEach(this::back);
+        } else if (target.backSince >= 0) {
+            target.backCap++;
+        }
+        well(target);
+    }
+
     private static final double CREDIT_MOST = 8, CREDIT_GAIN = 0.5, LOSSY = 0.04, USUAL_LAT = 0.5 * SECOND;
     private static final long RENEW_FOR = 30 * SECOND, CROWDED_FOR = 60 * SECOND, SHUT_AFTER = 2500 * MS,
         LONE_TRIAL = 3 * SECOND, HOPELESS = 1500 * MS;
