--- a/decisions/src/main/java/yewpath/DeliveryPolicy.java
+++ b/decisions/src/main/java/yewpath/DeliveryPolicy.java
@@ -17,1185 +17,1749 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import java.util.zip.CRC32;
+import yewpath.PolicySettings.DeliverySemantics;
+import yewpath.PolicySettings.MessageClass;
 
 /**
- * Every decision of one relay. A caller hands in what happened (the clock by {@link #setTime}, then the public
- * methods below) and closes each round with {@link #completeRound}; what is to be done is asked of {@link PolicyActions},
- * the interface; {@link PolicySettings} is what the relay is told. No threads. Envelopes, endpoints and all else
- * named are small indices of the caller's. docs/design.md explains the mechanism and each exception.
+ * Makes every delivery decision of one relay: which message goes to which endpoint and when, when an attempt
+ * is repeated, and when a message is rejected or fails.
+ *
+ * <p>The caller processes events in rounds. In each round it sets the clock with {@link #setTime}, reports
+ * what happened through the other methods, and ends the round with {@link #completeRound}. The policy asks
+ * for actions through {@link PolicyActions}; {@link PolicySettings} holds its configuration. Messages,
+ * endpoints, destinations, keys, zones, tenants and message classes are small non-negative indices that the
+ * caller assigns.
+ *
+ * <p>Not safe for use by several threads. All times are microseconds of the caller's clock, all rates are
+ * calls per second. docs/design.md explains the mechanism and each exception.
  */
 public final class DeliveryPolicy {
-    private static final int UP = 0, GONE = 2, NO_CAP = 1 << 20, CROWDED_RUN = 4, CHOICE = 8;
-    private static final long MS = 1_000, SECOND = 1_000_000, NEVER = Long.MAX_VALUE / 4;
-
-    // The design's own figures: where a window starts and ends, how it is cut and raised, and how often.
-    private static final double START = 0.75, CUT = 0.8, RAISE = 1.5;
-    private static final long TICK = SECOND, IDLE = 20 * SECOND;
-    // An answer must leave ahead of the expiry: a round lost to a late alarm would lose the envelope.
-    private static final long GIVE_UP_AHEAD = 40 * MS;
-
-    private static final class Envelope {
-        int id, offering, shots, doubtZone;
-        long agreedAt, expiry, giveUpAt, doubtSince = -1;
-        boolean ended, held;
-        Destination to;
-        KeyLine line;
+    /** Phases of an endpoint as {@link #endpointListed} receives them; 1 is draining. */
+    private static final int PHASE_UP = 0;
+    private static final int PHASE_GONE = 2;
+    private static final int NO_CALL_LIMIT = 1 << 20;
+    /**
+     * Consecutive refused connects, over all endpoints that share a limit, from which on they count as an
+     * outage.
+     */
+    private static final int OUTAGE_REFUSED_CONNECTS = 4;
+    /** Ready destinations that are compared when call slots are short. */
+    private static final int COMPARED_DESTINATIONS = 8;
+    /** Checksums are below this. */
+    private static final double CHECKSUM_RANGE = 0x1p32;
+    /** Durations in microseconds. */
+    private static final long MILLISECOND = 1_000;
+    private static final long SECOND = 1_000_000;
+    private static final long NEVER = Long.MAX_VALUE / 4;
+
+    /** The window of a new destination, and the largest one, as a share of all call slots. */
+    private static final double WINDOW_SHARE = 0.75;
+    /** Factor for the window after a call was answered with OVERLOADED. */
+    private static final double WINDOW_CUT = 0.8;
+    /** Factor for the window at each interval in which it was used up without an overload. */
+    private static final double WINDOW_RAISE = 1.5;
+    private static final long RAISE_INTERVAL_MICROS = SECOND;
+    /**
+     * How long observations count: the time constant of decaying counts, the time without a call after which
+     * a window starts anew, and the time after which an endpoint that is gone is released.
+     */
+    private static final long RETENTION_MICROS = 20 * SECOND;
+    /**
+     * A rejection or failure must leave this long before the message expires: if the alarm came a round late,
+     * the message would expire without an outcome.
+     */
+    private static final long FINISH_BEFORE_EXPIRY_MICROS = 40 * MILLISECOND;
+
+    /** An accepted message that is not finished, or whose attempt is still in flight. */
+    private static final class Message {
+        int index;
+        int messageClass;
+        /** Attempts so far, including those of an earlier process of this relay. */
+        int attempts;
+        /** The zone of the first attempt whose outcome is unknown. */
+        int uncertainZone;
+        long onTimeUntilMicros;
+        long expiresAtMicros;
+        /** The message finishes at this time at the latest unless an attempt is in flight. */
+        long sendByMicros;
+        /** When the first attempt was sent whose outcome is unknown; -1 if there is none. */
+        long uncertainSinceMicros = -1;
+        boolean finished;
+        boolean queued;
+        Destination destination;
+        /** The queue of its key if its class is delivered in order, otherwise null. */
+        KeyQueue keyQueue;
+        /** The call that carries its attempt in flight, otherwise null. */
         Call call;
     }
 
+    /** One request to an endpoint, which carries one or several messages. */
     private static final class Call {
-        int generation, left;
+        int windowGeneration;
+        int openAttempts;
         Endpoint endpoint;
-        long sentAt;
-        boolean learnt, calledOff;
-        Destination to;
-        final List<Envelope> carried = new ArrayList<>(1);
+        long startedAtMicros;
+        boolean outcomeObserved;
+        boolean cancelled;
+        Destination destination;
+        final List<Message> messages = new ArrayList<>(1);
     }
 
-    private static final class KeyLine {
+    /** The unfinished messages of one key in the order accepted. */
+    private static final class KeyQueue {
         final int key;
-        final ArrayDeque<Envelope> waiting = new ArrayDeque<>(2);
-        long restUntil;
+        final ArrayDeque<Message> messages = new ArrayDeque<>(2);
+        /**
+         * No message of the key is sent for the first time before this, since an earlier one may still run.
+         */
+        long pausedUntilMicros;
 
-        KeyLine(int key) {
+        KeyQueue(int key) {
             this.key = key;
         }
     }
 
-    /** What limit, wait and pace belong to: a destination, or an endpoint where routes are apart. */
-    private static final class Route {
-        double listed = Double.NaN, told = Double.NaN, pace, left, tokens = 1;
-        long waitUntil, tokensAt, pressedAt = -NEVER;
-        int fulls, members, answers;
-        final Count refusals = new Count();
-        final Destination of;
-
-        Route(Destination of) {
-            this.of = of;
-        }
-    }
-
-    /** How often something happened, with what is long past fading out of it. */
-    private static final class Count {
+    /**
+     * The send rate of this relay to a destination, or to one endpoint where each endpoint has its own limit.
+     */
+    private static final class RateLimiter {
+        /** Calls per second, from all relays, in the endpoint list and in the endpoint's load reports. */
+        double listedRate = Double.NaN;
+        double reportedLimit = Double.NaN;
+        /** Calls per second of this relay; 0 until the first use. */
+        double sendRate;
+        /** The share of the limit that the endpoint last reported as unused. */
+        double remainingShare;
+        double tokens = 1;
+        long waitUntilMicros;
+        long tokensAtMicros;
+        /** When a message last had to wait for a token. */
+        long throttledAtMicros = -NEVER;
+        /** Overloads in a run; each delivery halves the number. */
+        int overloadRun;
+        int endpointsUp;
+        int deliveriesSinceOverload;
+        final DecayingCount recentOverloads = new DecayingCount();
+        final Destination destination;
+
+        RateLimiter(Destination destination) {
+            this.destination = destination;
+        }
+    }
+
+    /** A count of events whose weight decays exponentially with their age. */
+    private static final class DecayingCount {
         private double sum;
-        private long at;
+        private long updatedAtMicros;
 
-        double by(long now, int more) {
-            sum = sum * Math.exp((at - now) / (double) IDLE) + more;
-            at = now;
+        /** Adds {@code increment} events and returns the decayed count. */
+        double add(long nowMicros, int increment) {
+            sum = sum * Math.exp((updatedAtMicros - nowMicros) / (double) RETENTION_MICROS) + increment;
+            updatedAtMicros = nowMicros;
             return sum;
         }
     }
 
-    /** What falls due at a time: nothing is looked at between events but what one of these names. */
-    private record Due(long at, long order, Runnable act) {}
+    /**
+     * An action that runs in the first round at or after its time; {@code sequence} orders actions of one
+     * time.
+     */
+    private record TimedAction(long dueAtMicros, long sequence, Runnable action) {}
 
     private final class Destination {
         Endpoint[] endpoints = {};
-        int generation, sentUnder, inFlight, held, open, bundle = 1;
-        double window = cap, earned;
-        boolean filled, ready;
-        long lastUsed, wakeAt = NEVER;
-        final Route shared = new Route(this);
-        final Count asked = new Count();
-        /** Two for each offering: those in time in order of arrival, then the late. */
-        final List<ArrayDeque<Envelope>> lines = Stream.generate(ArrayDeque<Envelope>::new)
-            .limit(2 * offerings.length).toList();
-        final ArrayDeque<Envelope> behind = new ArrayDeque<>(2);
-    }
-
-    /** What this relay knows of one endpoint; a new one counts with the usual latency until it answers. */
+        int windowGeneration;
+        int sentInGeneration;
+        int callsInFlight;
+        int queuedMessages;
+        int openMessages;
+        int maxBatchSize = 1;
+        /** Calls that may be in flight at once. */
+        double window = maxWindow;
+        /** Calls to an unhealthy or crowded endpoint that arriving messages have earned, from 0 to 1. */
+        double earnedCalls;
+        boolean windowFull;
+        boolean inReadyQueue;
+        long lastCallAtMicros;
+        long wakeAtMicros = NEVER;
+        final RateLimiter sharedLimiter = new RateLimiter(this);
+        final DecayingCount recentArrivals = new DecayingCount();
+        /** Two queues for each message class: messages on time in order of arrival, then the late ones. */
+        final List<ArrayDeque<Message>> queues = Stream.generate(ArrayDeque<Message>::new)
+            .limit(2 * messageClasses.length).toList();
+        /** Ordered messages in order of arrival; those that don't wait for their key any more are skipped. */
+        final ArrayDeque<Message> waitingForKey = new ArrayDeque<>(2);
+    }
+
+    /** What this relay knows of one endpoint. */
     private final class Endpoint {
-        final int id;
-        final Destination owner;
-        final Route route;
-        int zone, kind, phase = GONE, lastBad, badRun, calls, callCap = NO_CAP, backCap;
-        double lat = USUAL_LAT, spread = USUAL_LAT / 2, gap, ill, credit = 3, turn, budget;
-        boolean mayHaveRun;
-        long lastAnswer, lastSend = -1, sentLast, sickSince = -1, backSince = -1;
-        long trialAt, budgetAt, crowdedAt = -NEVER, listenAt, namedIn;
-
-        Endpoint(int id, Destination owner, int kind) {
-            this.id = id;
-            this.owner = owner;
-            route = kind < apart.length && apart[kind] ? new Route(owner) : owner.shared;
-        }
-    }
-
-    private final PolicyActions out;
-    private final long seed, began;
-    private final Count askedInAll = new Count();
-    private long now, drawn, turns, ordered, callOffAt, renewUntil, wholeLists, alarmAt = NEVER;
-    private int slotsOut, open;
-    private Endpoint chosen;
-    private boolean listWhole;
-    private Envelope[] envelopes = new Envelope[64];
+        final int index;
+        final Destination destination;
+        final RateLimiter limiter;
+        int zone;
+        int kind;
+        int phase = PHASE_GONE;
+        int lastFailure;
+        int consecutiveFailures;
+        int callsInFlight;
+        /** Calls that may be in flight; set when a connect was refused, then raised again by deliveries. */
+        int callLimit = NO_CALL_LIMIT;
+        /** Calls that may be in flight while the endpoint recovers; each delivery adds one. */
+        int recoveryCallLimit;
+        /** Moving average of the time to an answer; that of all endpoints until this one has answered. */
+        double latencyMicros = DEFAULT_LATENCY_MICROS;
+        double latencyDeviationMicros = DEFAULT_LATENCY_MICROS / 2;
+        /** Moving average of the time between calls. */
+        double callIntervalMicros;
+        /** Moving average of failed calls, from 0 to 1. */
+        double failureShare;
+        /** Retries that the answers of this endpoint have earned. */
+        double retryCredit = 3;
+        /** The state of the weighted round robin. */
+        double roundRobinWeight;
+        /** Calls that may be sent now while the endpoint recovers. */
+        double recoveryTokens;
+        /** Whether a call of the present outage may have been executed. */
+        boolean mayHaveExecuted;
+        long lastAnswerAtMicros;
+        /** The round in which the last batch was sent; -1 where calls carry one message. */
+        long lastBatchRound = -1;
+        long lastCallAtMicros;
+        /** -1 while the endpoint is not unhealthy, or not recovering. */
+        long unhealthySinceMicros = -1;
+        long recoveringSinceMicros = -1;
+        long nextProbeAtMicros;
+        long recoveryTokensAtMicros;
+        long crowdedUntilMicros = -NEVER;
+        long silenceCheckAtMicros;
+        /** The number of the last complete list that named the endpoint. */
+        long listedInVersion;
+
+        Endpoint(int index, Destination destination, int kind) {
+            this.index = index;
+            this.destination = destination;
+            limiter = kind < limitPerEndpoint.length && limitPerEndpoint[kind] ? new RateLimiter(destination)
+                : destination.sharedLimiter;
+        }
+    }
+
+    private final PolicyActions actions;
+    private final long seed;
+    private final long startedAtMicros;
+    private final DecayingCount allRecentArrivals = new DecayingCount();
+    private long nowMicros;
+    private long randomDraws;
+    private long rounds;
+    private long timedActionCount;
+    private long cancelCheckAtMicros;
+    /** Until this time idle connections are closed before each call, so that it goes over a new one. */
+    private long renewConnectionsUntilMicros;
+    private long completeListCount;
+    private long alarmAtMicros = NEVER;
+    private int callsInFlight;
+    private int openMessages;
+    /** The endpoint that {@link #nextMessage} has found for the message that it returned. */
+    private Endpoint selectedEndpoint;
+    private boolean listIsComplete;
+    private Message[] messages = new Message[64];
     private final Map<Integer, Destination> destinations = new HashMap<>();
-    private final Set<Destination> holding = new LinkedHashSet<>();
-    private final ArrayList<Destination> filled = new ArrayList<>();
-    private final ArrayDeque<Destination> ready = new ArrayDeque<>();
-    private final ArrayList<Call> callsOut = new ArrayList<>();
-    private final Map<Integer, KeyLine> keyLines = new HashMap<>();
-    private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.at != b.at
-        ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-
-    // ---- Settings to figures
-
-    private final PolicySettings.MessageClass[] offerings;
-    private final boolean[] apart;
-    private final int[] bundles;
-    private final int slots, cap, sickCap, shotLimit, fillMark, relays, zone;
-    private final double[] fees;
-    private final boolean halving, ratesListed, mayCancel;
-    private final double crossing, pricedCut, lone, rateDoubt, coldFrom, coldMultiple;
-    private final long pauseLimit, coldFor, fallFor, settle, askAgain, idleFor, connectFor;
-
-    public DeliveryPolicy(PolicySettings s, long seed, PolicyActions out, long now) {
-        this.out = out;
+    private final Set<Destination> destinationsInUse = new LinkedHashSet<>();
+    private final ArrayList<Destination> fullWindows = new ArrayList<>();
+    private final ArrayDeque<Destination> readyDestinations = new ArrayDeque<>();
+    private final ArrayList<Call> activeCalls = new ArrayList<>();
+    private final Map<Integer, KeyQueue> keyQueues = new HashMap<>();
+    private final PriorityQueue<TimedAction> timedActions = new PriorityQueue<>(
+        (a, b) -> a.dueAtMicros != b.dueAtMicros
+            ? Long.compare(a.dueAtMicros, b.dueAtMicros) : Long.compare(a.sequence, b.sequence));
+
+    // ---- Values derived from the settings
+
+    /** Used where the settings tell nothing of how a destination returns from an outage. */
+    private static final double DEFAULT_WARM_UP_INITIAL_SHARE = 0.2;
+    private static final long DEFAULT_WARM_UP_MICROS = 15 * SECOND;
+    private static final double DEFAULT_COLLAPSE_MULTIPLE = 2;
+    private static final long DEFAULT_COLLAPSE_WINDOW_MICROS = 3 * SECOND;
+    /**
+     * The part of the collapse multiple that relays send by themselves; arriving messages earn as much again.
+     */
+    private static final double RECOVERY_PART = 0.425;
+    /** Factor for a rate that is listed as approximate or not listed. */
+    private static final double APPROXIMATE_RATE_CONFIDENCE = 1 / 1.5;
+    /**
+     * By how much the price of a refusal deepens the cut: a tenth of a message's revenue halves the send
+     * rate.
+     */
+    private static final double CUT_PER_REFUSAL_PRICE = 3.5;
+    private static final double DEEPEST_SEND_RATE_CUT = 0.5;
+
+    private final MessageClass[] messageClasses;
+    private final boolean[] limitPerEndpoint;
+    private final int[] maxBatchSizes;
+    private final int maxConcurrentCalls;
+    private final int maxWindow;
+    private final int maxUnhealthyWindow;
+    private final int maxAttempts;
+    private final int shedThreshold;
+    private final int relayCount;
+    private final int zone;
+    private final double[] zoneFees;
+    private final boolean lateRevenueHalves;
+    private final boolean listReportsRate;
+    private final boolean cancelAllowed;
+    private final double crossZonePrice;
+    /** Factor for the send rate after an overload, by the price of a refusal. */
+    private final double overloadRateCut;
+    /**
+     * Calls per second that let the only message of a destination be attempted several times before it
+     * expires.
+     */
+    private final double loneMessageRate;
+    /** Factor for a rate that is only approximately known. */
+    private final double rateConfidence;
+    private final double warmUpInitialShare;
+    /**
+     * What is sent to a recovering destination, as a multiple of its capacity: somewhat less than half of
+     * what makes it collapse. Arriving messages earn up to as much again.
+     */
+    private final double recoveryMultiple;
+    private final long maxRetryAfterMicros;
+    private final long warmUpMicros;
+    private final long collapseWindowMicros;
+    private final long settleAfterUncertainMicros;
+    private final long listRetryMicros;
+    private final long idleConnectionTimeoutMicros;
+    /** A connect that fails sooner was refused; one that takes as long ran into its timeout. */
+    private final long refusedConnectMicros;
+
+    /**
+     * Creates the policy of one relay. Sends nothing, but asks for the endpoint list at the end of the first
+     * round if the list is sent on request only.
+     *
+     * @param settings copied, except for its elements
+     * @param seed makes the random choices; the same events with the same seed lead to the same actions
+     * @param nowMicros the present time of the caller's clock
+     */
+    public DeliveryPolicy(PolicySettings settings, long seed, PolicyActions actions, long nowMicros) {
+        this.actions = actions;
         this.seed = seed;
-        this.now = began = now;
-        offerings = s.messageClasses.clone();
-        apart = s.limitPerEndpoint.clone();
-        bundles = s.maxBatchSize.clone();
-        kindCrowdedAt = new long[max(1, apart.length)];
-        Arrays.fill(kindCrowdedAt, -NEVER);
-        slots = max(1, s.maxConcurrentCalls);
-        lone = Arrays.stream(offerings).mapToDouble(o -> ALONE * SECOND / o.timeToLiveMicros()).max()
+        this.nowMicros = startedAtMicros = nowMicros;
+        messageClasses = settings.messageClasses.clone();
+        limitPerEndpoint = settings.limitPerEndpoint.clone();
+        maxBatchSizes = settings.maxBatchSize.clone();
+        kindCrowdedAtMicros = new long[max(1, limitPerEndpoint.length)];
+        Arrays.fill(kindCrowdedAtMicros, -NEVER);
+        maxConcurrentCalls = max(1, settings.maxConcurrentCalls);
+        loneMessageRate = Arrays.stream(messageClasses)
+            .mapToDouble(messageClass -> LONE_MESSAGE_ATTEMPTS * SECOND / messageClass.timeToLiveMicros())
+            .max()
             .orElse(0);
-        cap = max(1, (int) (START * slots));
-        sickCap = max(1, slots / 2);
-        shotLimit = s.maxAttempts > 0 ? s.maxAttempts : Integer.MAX_VALUE;
-        fillMark = s.maxOpenMessages > 0 ? max(1, s.maxOpenMessages - max(1, s.maxOpenMessages / 16))
-            : Integer.MAX_VALUE;
-        relays = max(1, s.relayCount);
-        halving = s.lateRevenueHalves;
-        zone = s.zone;
-        crossing = s.crossZonePrice;
-        // The dearer a refusal, the deeper the cut: a tenth of a message's worth halves the pace.
-        pricedCut = max(0.5, PACE_DOWN - 3.5 * s.refusalPrice);
-        fees = s.zoneFees.clone();
-        ratesListed = s.listReportsRate;
-        rateDoubt = s.listedRateIsApproximate || !ratesListed ? 1 / 1.5 : 1;
-        coldFrom = s.warmUpInitialShare > 0 ? s.warmUpInitialShare : 0.2;
-        coldFor = s.warmUpMicros > 0 ? s.warmUpMicros : 15 * SECOND;
-        coldMultiple = 0.425 * (s.collapseMultiple > 0 ? s.collapseMultiple : 2);
-        fallFor = s.collapseWindowMicros > 0 ? s.collapseWindowMicros : 3 * SECOND;
-        settle = s.settleAfterUncertainMicros;
-        pauseLimit = s.maxRetryAfterMicros;
-        mayCancel = s.cancelAllowed;
-        connectFor = s.connectTimeoutMicros > 0 ? s.connectTimeoutMicros - s.connectTimeoutMicros / 8 : NEVER;
-        idleFor = s.idleConnectionTimeoutMicros > 0 ? s.idleConnectionTimeoutMicros : NEVER;
-        askAgain = s.listRequestIntervalMicros > 0 ? min(SECOND, s.listRequestIntervalMicros / 8) : SECOND;
-        if (s.listOnRequest) {
-            askBy(now);
-        }
-    }
-
-    public void setTime(long clock) {
-        now = clock;
-    }
-
-    private void later(long at, Runnable act) {
-        dues.add(new Due(at, ordered++, act));
-    }
-
-    /** Uniform in [0, 1): a checksum, so that the same events give the same actions on any machine. */
-    private double chance() {
+        maxWindow = max(1, (int) (WINDOW_SHARE * maxConcurrentCalls));
+        maxUnhealthyWindow = max(1, maxConcurrentCalls / 2);
+        maxAttempts = settings.maxAttempts > 0 ? settings.maxAttempts : Integer.MAX_VALUE;
+        shedThreshold = settings.maxOpenMessages > 0
+            ? max(1, settings.maxOpenMessages - max(1, settings.maxOpenMessages / 16)) : Integer.MAX_VALUE;
+        relayCount = max(1, settings.relayCount);
+        lateRevenueHalves = settings.lateRevenueHalves;
+        zone = settings.zone;
+        crossZonePrice = settings.crossZonePrice;
+        overloadRateCut = max(DEEPEST_SEND_RATE_CUT,
+            SEND_RATE_CUT - CUT_PER_REFUSAL_PRICE * settings.refusalPrice);
+        zoneFees = settings.zoneFees.clone();
+        listReportsRate = settings.listReportsRate;
+        rateConfidence = settings.listedRateIsApproximate || !listReportsRate ? APPROXIMATE_RATE_CONFIDENCE
+            : 1;
+        warmUpInitialShare = settings.warmUpInitialShare > 0 ? settings.warmUpInitialShare
+            : DEFAULT_WARM_UP_INITIAL_SHARE;
+        warmUpMicros = settings.warmUpMicros > 0 ? settings.warmUpMicros : DEFAULT_WARM_UP_MICROS;
+        recoveryMultiple = RECOVERY_PART
+            * (settings.collapseMultiple > 0 ? settings.collapseMultiple : DEFAULT_COLLAPSE_MULTIPLE);
+        collapseWindowMicros = settings.collapseWindowMicros > 0 ? settings.collapseWindowMicros
+            : DEFAULT_COLLAPSE_WINDOW_MICROS;
+        settleAfterUncertainMicros = settings.settleAfterUncertainMicros;
+        maxRetryAfterMicros = settings.maxRetryAfterMicros;
+        cancelAllowed = settings.cancelAllowed;
+        refusedConnectMicros = settings.connectTimeoutMicros > 0
+            ? settings.connectTimeoutMicros - settings.connectTimeoutMicros / 8 : NEVER;
+        idleConnectionTimeoutMicros = settings.idleConnectionTimeoutMicros > 0
+            ? settings.idleConnectionTimeoutMicros : NEVER;
+        listRetryMicros = settings.listRequestIntervalMicros > 0
+            ? min(SECOND, settings.listRequestIntervalMicros / 8) : SECOND;
+        if (settings.listOnRequest) {
+            requestListAt(nowMicros);
+        }
+    }
+
+    /** Sets the clock; called before the events of a round are reported. */
+    public void setTime(long nowMicros) {
+        this.nowMicros = nowMicros;
+    }
+
+    private void schedule(long dueAtMicros, Runnable action) {
+        timedActions.add(new TimedAction(dueAtMicros, timedActionCount++, action));
+    }
+
+    /**
+     * Returns a pseudo-random number, uniform in [0, 1). It is a checksum of the seed and a counter, so that
+     * the same events lead to the same actions on any machine.
+     */
+    private double random() {
         CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(drawn++).flip());
-        return crc.getValue() / 4294967296.0;
+        crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(randomDraws++).flip());
+        return crc.getValue() / CHECKSUM_RANGE;
     }
 
-    // ---- Hold
+    // ---- Accepted messages and their queues
 
-    /** Shots and doubt are those of an earlier life of this relay: none, -1 and 0 for a new envelope. */
-    public void messageAccepted(int id, int offering, int tenant, int key, int destination, long expiry,
-        int shots,
-        long doubtSince, int doubtZone) {
-        if (id >= envelopes.length) {
-            envelopes = Arrays.copyOf(envelopes, id * 2);
-        }
-        Envelope e = envelopes[id] = new Envelope();
-        PolicySettings.MessageClass o = offerings[offering];
-        e.id = id;
-        e.offering = offering;
-        e.expiry = expiry;
-        e.agreedAt = expiry - o.timeToLiveMicros() + o.onTimeMicros();
-        e.to = destinations.computeIfAbsent(destination, i -> new Destination());
-        e.to.asked.by(now, 1);
-        askedInAll.by(now, 1);
-        earn(e.to);
-        e.giveUpAt = expiry - GIVE_UP_AHEAD;
-        e.shots = shots;
-        open++;
-        if (e.to.open++ == 0) {
-            holding.add(e.to);
-        }
-        later(e.giveUpAt, () -> giveUp(e));
-        if (o.ordered() && key >= 0) {
-            e.line = keyLines.computeIfAbsent(key, KeyLine::new);
-            e.line.waiting.add(e);
-            lastBehind(e.to);
-            e.to.behind.addLast(e);
-            e.line.restUntil = doubtSince >= 0 ? now + settle : e.line.restUntil;
-        }
-        doubt(e, doubtSince, doubtZone);
-        if (!mayShoot(e)) {
-            finish(e, 0);
-        } else if (e.line == null) {
-            hold(e, false);
-        } else if (e.line.waiting.peek() == e) {
-            step(e.line);
-        }
-        if (open > fillMark) {
-            shed();
-        }
-    }
+    /** The part of its present revenue that counts for a message beside what a delay would lose. */
+    private static final double PRESENT_REVENUE_WEIGHT = 0.25;
 
-    private void hold(Envelope e, boolean again) {
-        e.held = true;
-        e.to.held++;
-        rouse(e.to);
-        ArrayDeque<Envelope> line = e.to.lines.get(2 * e.offering);
-        if (!again || !line.offerFirst(e)) {
-            line.addLast(e);
+    /**
+     * Accepts responsibility for a message: from now on it ends by a delivery, by
+     * {@link PolicyActions#reject} or by {@link PolicyActions#fail}, unless the client withdraws it.
+     *
+     * @param index the message, an index that no open message has
+     * @param messageClass index into {@link PolicySettings#messageClasses}
+     * @param tenant index of the tenant, or -1; not used by this policy
+     * @param key the key that orders the message, or -1 for none; ignored unless its class is ordered
+     * @param expiresAtMicros when the message expires
+     * @param attempts attempts that an earlier process of this relay made; 0 for a new message
+     * @param uncertainSinceMicros when the first of these with unknown outcome was sent, or -1 for none
+     * @param uncertainZone the zone of that attempt
+     */
+    public void messageAccepted(int index, int messageClass, int tenant, int key, int destination,
+        long expiresAtMicros, int attempts, long uncertainSinceMicros, int uncertainZone) {
+        if (index >= messages.length) {
+            messages = Arrays.copyOf(messages, index * 2);
+        }
+        Message message = messages[index] = new Message();
+        MessageClass properties = messageClasses[messageClass];
+        message.index = index;
+        message.messageClass = messageClass;
+        message.expiresAtMicros = expiresAtMicros;
+        message.onTimeUntilMicros = expiresAtMicros - properties.timeToLiveMicros()
+            + properties.onTimeMicros();
+        message.destination = destinations.computeIfAbsent(destination, i -> new Destination());
+        message.destination.recentArrivals.add(nowMicros, 1);
+        allRecentArrivals.add(nowMicros, 1);
+        earnCalls(message.destination);
+        message.sendByMicros = expiresAtMicros - FINISH_BEFORE_EXPIRY_MICROS;
+        message.attempts = attempts;
+        openMessages++;
+        if (message.destination.openMessages++ == 0) {
+            destinationsInUse.add(message.destination);
+        }
+        schedule(message.sendByMicros, () -> finishIfDue(message));
+        if (properties.ordered() && key >= 0) {
+            message.keyQueue = keyQueues.computeIfAbsent(key, KeyQueue::new);
+            message.keyQueue.messages.add(message);
+            newestWaitingForKey(message.destination);
+            message.destination.waitingForKey.addLast(message);
+            message.keyQueue.pausedUntilMicros = uncertainSinceMicros >= 0
+                ? nowMicros + settleAfterUncertainMicros : message.keyQueue.pausedUntilMicros;
+        }
+        markUncertain(message, uncertainSinceMicros, uncertainZone);
+        if (!mayAttempt(message)) {
+            finish(message, 0);
+        } else if (message.keyQueue == null) {
+            enqueue(message, false);
+        } else if (message.keyQueue.messages.peek() == message) {
+            enqueueNextOfKey(message.keyQueue);
+        }
+        if (openMessages > shedThreshold) {
+            shedOne();
+        }
+    }
+
+    /** Puts the message at the end of its queue, or at the front if it is to be repeated. */
+    private void enqueue(Message message, boolean repeated) {
+        message.queued = true;
+        message.destination.queuedMessages++;
+        markReady(message.destination);
+        ArrayDeque<Message> queue = message.destination.queues.get(2 * message.messageClass);
+        if (!repeated || !queue.offerFirst(message)) {
+            queue.addLast(message);
         }
     }
 
-    private void unhold(Envelope e) {
-        e.to.held -= e.held ? 1 : 0;
-        e.held = false;
+    /**
+     * Takes the message out of its queue; the entry itself is removed when it reaches an end of the queue.
+     */
+    private void dequeue(Message message) {
+        message.destination.queuedMessages -= message.queued ? 1 : 0;
+        message.queued = false;
     }
 
-    private double worth(Envelope e, long at) {
-        PolicySettings.MessageClass o = offerings[e.offering];
-        double lateBy = max(0, at - e.agreedAt);
-        double part = halving ? max(o.lateRevenueShare(), Math.pow(0.5, lateBy / max(1, o.onTimeMicros())))
-            : 1 - (1 - o.lateRevenueShare()) * lateBy / max(1, e.expiry - e.agreedAt);
-        return at >= e.expiry ? 0 : o.revenue() * part;
+    /** Returns the revenue of a delivery at the given time. */
+    private double revenueAt(Message message, long atMicros) {
+        MessageClass properties = messageClasses[message.messageClass];
+        double lateMicros = max(0, atMicros - message.onTimeUntilMicros);
+        double share = lateRevenueHalves
+            ? max(properties.lateRevenueShare(),
+                Math.pow(0.5, lateMicros / max(1, properties.onTimeMicros())))
+            : 1 - (1 - properties.lateRevenueShare()) * lateMicros
+                / max(1, message.expiresAtMicros - message.onTimeUntilMicros);
+        return atMicros >= message.expiresAtMicros ? 0 : properties.revenue() * share;
     }
 
-    /** In order of arrival a whole backlog would be late; this asks what a delay would cost. */
-    private double urgency(Envelope e, long lat, long horizon) {
-        double soon = worth(e, now + lat);
-        return soon - worth(e, now + lat + horizon) + 0.25 * soon;
+    /**
+     * Returns the revenue that a delay by {@code delayMicros} would lose, plus a part of the present
+     * revenue. Messages are sent by this instead of in order of arrival, where a whole backlog would be
+     * delivered late.
+     */
+    private double urgency(Message message, long latencyMicros, long delayMicros) {
+        double revenue = revenueAt(message, nowMicros + latencyMicros);
+        return revenue - revenueAt(message, nowMicros + latencyMicros + delayMicros)
+            + PRESENT_REVENUE_WEIGHT * revenue;
     }
 
-    private Envelope head(Destination d, int line) {
-        return end(d.lines.get(line), line % 2 == 0);
+    /**
+     * Returns the next message of a queue, or null: the oldest of those on time, but the newest of the late
+     * ones.
+     */
+    private Message head(Destination destination, int queue) {
+        return end(destination.queues.get(queue), queue % 2 == 0);
     }
 
-    private Envelope end(ArrayDeque<Envelope> line, boolean first) {
-        Envelope e = first ? line.peekFirst() : line.peekLast();
-        for (; e != null && !e.held; e = first ? line.peekFirst() : line.peekLast()) {
-            boolean gone = first ? line.remove(e) : line.removeLastOccurrence(e);
+    private Message end(ArrayDeque<Message> queue, boolean first) {
+        Message message = first ? queue.peekFirst() : queue.peekLast();
+        for (; message != null && !message.queued; message = first ? queue.peekFirst() : queue.peekLast()) {
+            boolean removed = first ? queue.remove(message) : queue.removeLastOccurrence(message);
         }
-        return e;
+        return message;
     }
 
-    /** Envelopes that can't make their agreed time any more leave the line of those that can. */
-    private void sortLate(Destination d, long lat) {
-        for (int i = 0; i < d.lines.size(); i += 2) {
-            for (Envelope e = head(d, i); e != null && now + lat > e.agreedAt; e = head(d, i)) {
-                d.lines.get(i + 1).addLast(d.lines.get(i).pollFirst());
+    /** Moves messages that can't be delivered on time any more to the queues of late messages. */
+    private void moveLateMessages(Destination destination, long latencyMicros) {
+        for (int i = 0; i < destination.queues.size(); i += 2) {
+            for (Message message = head(destination, i); message != null
+                && nowMicros + latencyMicros > message.onTimeUntilMicros; message = head(destination, i)) {
+                destination.queues.get(i + 1).addLast(destination.queues.get(i).pollFirst());
             }
         }
     }
 
     /**
-     * The hold is nearly full: what one destination can't take must not keep out the others' envelopes. Those
-     * that wait behind another of their key count too, and the newest of them has the least to hope for.
+     * Rejects one message when the relay is nearly full, so that a destination that accepts nothing doesn't
+     * keep out the messages of the others. It is one of the destination with the most open messages,
+     * unhealthy destinations first: the one with the lowest revenue among the newest on-time message and the
+     * oldest late message of each class and the newest message that waits for its key, since that one is sent
+     * last.
      */
-    private void shed() {
-        Destination most = holding.stream()
-            .max(Comparator.comparing(this::isSick).thenComparingInt(d -> d.open)).orElse(null);
-        Envelope least = most == null ? null : lastBehind(most);
-        for (int i = 0; most != null && i < most.lines.size(); i++) {
-            Envelope e = end(most.lines.get(i), i % 2 == 1);
-            boolean more = least != null && e != null && worth(e, now + SECOND) >= worth(least, now + SECOND);
-            least = e == null || more ? least : e;
+    private void shedOne() {
+        Destination largest = destinationsInUse.stream()
+            .max(Comparator.comparing(this::isUnhealthy)
+                .thenComparingInt(destination -> destination.openMessages))
+            .orElse(null);
+        Message cheapest = largest == null ? null : newestWaitingForKey(largest);
+        for (int i = 0; largest != null && i < largest.queues.size(); i++) {
+            Message last = end(largest.queues.get(i), i % 2 == 1);
+            boolean higher = cheapest != null && last != null
+                && revenueAt(last, nowMicros + SECOND) >= revenueAt(cheapest, nowMicros + SECOND);
+            cheapest = last == null || higher ? cheapest : last;
         }
-        if (least != null) {
-            finish(least, isSick(most) ? max(SECOND, pauseLimit) : resubmitDelayMicros());
+        if (cheapest != null) {
+            finish(cheapest, isUnhealthy(largest) ? max(SECOND, maxRetryAfterMicros) : resubmitDelayMicros());
         }
     }
 
-    private Envelope lastBehind(Destination d) {
-        Predicate<Envelope> waits = e -> e == null || !e.ended && e.line.waiting.peek() != e;
-        while (!waits.test(d.behind.peekFirst())) {
-            d.behind.pollFirst();
+    private Message newestWaitingForKey(Destination destination) {
+        Predicate<Message> waits = message -> message == null
+            || !message.finished && message.keyQueue.messages.peek() != message;
+        while (!waits.test(destination.waitingForKey.peekFirst())) {
+            destination.waitingForKey.pollFirst();
         }
-        while (!waits.test(d.behind.peekLast())) {
-            d.behind.pollLast();
+        while (!waits.test(destination.waitingForKey.peekLast())) {
+            destination.waitingForKey.pollLast();
         }
-        return d.behind.peekLast();
+        return destination.waitingForKey.peekLast();
     }
 
-    /** One envelope of a key at a time, in the order taken; after a shot that may still run the key rests. */
-    private void step(KeyLine line) {
-        Envelope first = line.waiting.peek();
-        for (; first != null && first.ended && first.call == null; first = line.waiting.peek()) {
-            line.waiting.poll();
+    /**
+     * Queues the first unfinished message of a key for delivery. Only one message of a key is attempted at a
+     * time, in the order accepted; after an attempt that may still run, the key pauses.
+     */
+    private void enqueueNextOfKey(KeyQueue keyQueue) {
+        Message first = keyQueue.messages.peek();
+        for (; first != null && first.finished && first.call == null; first = keyQueue.messages.peek()) {
+            keyQueue.messages.poll();
         }
-        if (first == null || first.held || first.call != null) {
+        if (first == null || first.queued || first.call != null) {
             return;
         }
-        if (line.restUntil > now && first.shots == 0) {
-            later(line.restUntil, () -> step(line));
+        if (keyQueue.pausedUntilMicros > nowMicros && first.attempts == 0) {
+            schedule(keyQueue.pausedUntilMicros, () -> enqueueNextOfKey(keyQueue));
         } else {
-            hold(first, false);
+            enqueue(first, false);
         }
     }
 
-    private void giveUp(Envelope e) {
-        if (!e.ended && e.call == null && now >= e.giveUpAt) {
-            finish(e, 0);
+    private void finishIfDue(Message message) {
+        if (!message.finished && message.call == null && nowMicros >= message.sendByMicros) {
+            finish(message, 0);
         }
     }
 
-    /** The one place that answers: a deferral promises that nothing ran, or that a repeat is known. */
-    private void finish(Envelope e, long pause) {
-        PolicySettings.MessageClass o = offerings[e.offering];
-        close(e);
-        if (mayRepeat(e) && (e.doubtSince < 0 || o.semantics() == PolicySettings.DeliverySemantics.IDEMPOTENT
-            || !o.deduplicatedPerZone())) {
-            out.reject(e.id, pause);
+    /**
+     * Finishes a message that was not delivered. It is rejected only if no attempt was executed or a repeat
+     * is recognized wherever the client submits it, otherwise it fails.
+     */
+    private void finish(Message message, long retryAfterMicros) {
+        MessageClass properties = messageClasses[message.messageClass];
+        close(message);
+        if (mayRepeat(message) && (message.uncertainSinceMicros < 0
+            || properties.semantics() == DeliverySemantics.IDEMPOTENT
+            || !properties.deduplicatedPerZone())) {
+            actions.reject(message.index, retryAfterMicros);
         } else {
-            out.fail(e.id);
+            actions.fail(message.index);
         }
-        advance(e);
+        advanceKey(message);
     }
 
-    private void close(Envelope e) {
-        unhold(e);
-        open -= e.ended ? 0 : 1;
-        if (!e.ended && --e.to.open == 0) {
-            holding.remove(e.to);
-            e.to.behind.clear();
+    private void close(Message message) {
+        dequeue(message);
+        openMessages -= message.finished ? 0 : 1;
+        if (!message.finished && --message.destination.openMessages == 0) {
+            destinationsInUse.remove(message.destination);
+            message.destination.waitingForKey.clear();
         }
-        e.ended = true;
+        message.finished = true;
     }
 
-    private void advance(Envelope e) {
-        if (e.line != null && e.ended) {
-            if (e.line.waiting.peek() == e) {
-                step(e.line);
-            } else if (e.call == null) {
-                e.line.waiting.remove(e);
+    /** Lets the next message of the key go if the given one is finished. */
+    private void advanceKey(Message message) {
+        if (message.keyQueue != null && message.finished) {
+            if (message.keyQueue.messages.peek() == message) {
+                enqueueNextOfKey(message.keyQueue);
+            } else if (message.call == null) {
+                message.keyQueue.messages.remove(message);
             }
-            letGo(e.line);
+            releaseKey(message.keyQueue);
         }
     }
 
-    /** Guards against keys long over being kept for good: one that neither waits nor rests counts no more. */
-    private void letGo(KeyLine line) {
-        if (line.waiting.isEmpty() && line.restUntil > now) {
-            later(line.restUntil, () -> letGo(line));
-        } else if (line.waiting.isEmpty()) {
-            keyLines.remove(line.key, line);
+    /**
+     * Removes a key without messages once its pause is over; otherwise keys not used any more would fill the
+     * memory.
+     */
+    private void releaseKey(KeyQueue keyQueue) {
+        if (keyQueue.messages.isEmpty() && keyQueue.pausedUntilMicros > nowMicros) {
+            schedule(keyQueue.pausedUntilMicros, () -> releaseKey(keyQueue));
+        } else if (keyQueue.messages.isEmpty()) {
+            keyQueues.remove(keyQueue.key, keyQueue);
         }
     }
 
-    /** Keys of which something is kept. */
+    /** Returns the number of keys in memory: those with unfinished messages or within their pause. */
     public int trackedKeyCount() {
-        return keyLines.size();
+        return keyQueues.size();
     }
 
-    private boolean mayRepeat(Envelope e) {
-        PolicySettings.MessageClass o = offerings[e.offering];
-        return e.doubtSince < 0 || o.semantics() == PolicySettings.DeliverySemantics.IDEMPOTENT
-            || o.semantics() == PolicySettings.DeliverySemantics.DEDUPLICATED
-                && now < e.doubtSince + o.deduplicationMicros();
+    private boolean mayRepeat(Message message) {
+        MessageClass properties = messageClasses[message.messageClass];
+        return message.uncertainSinceMicros < 0
+            || properties.semantics() == DeliverySemantics.IDEMPOTENT
+            || properties.semantics() == DeliverySemantics.DEDUPLICATED
+                && nowMicros < message.uncertainSinceMicros + properties.deduplicationMicros();
     }
 
+    /**
+     * Returns how long a client should wait before it submits a message again that a full relay has rejected.
+     */
     public long resubmitDelayMicros() {
         return SECOND;
     }
 
-    public void messageWithdrawn(int id) {
-        close(envelopes[id]);
-        advance(envelopes[id]);
+    /** Reports that the client has withdrawn a message: it is not sent any more and gets no outcome. */
+    public void messageWithdrawn(int index) {
+        close(messages[index]);
+        advanceKey(messages[index]);
     }
 
-    // ---- Window
+    // ---- Window: calls in flight to a destination
 
-    private int room(Destination d) {
-        return min(max(1, (int) d.window), isSick(d) ? sickCap : cap) - d.inFlight;
+    private int freeWindow(Destination destination) {
+        return min(max(1, (int) destination.window),
+            isUnhealthy(destination) ? maxUnhealthyWindow : maxWindow)
+            - destination.callsInFlight;
     }
 
-    private void move(Destination d, double window) {
-        d.window = window;
-        d.generation++;
-        d.sentUnder = 0;
+    /** Changes the window. Overloads of calls that began under the former window don't cut the new one. */
+    private void setWindow(Destination destination, double window) {
+        destination.window = window;
+        destination.windowGeneration++;
+        destination.sentInGeneration = 0;
     }
 
-    private void fill(Destination d) {
-        if (!d.filled && room(d) <= 0) {
-            d.filled = filled.add(d);
-            if (filled.size() == 1) {
-                later(now + TICK, this::tick);
+    private void recordFullWindow(Destination destination) {
+        if (!destination.windowFull && freeWindow(destination) <= 0) {
+            destination.windowFull = fullWindows.add(destination);
+            if (fullWindows.size() == 1) {
+                schedule(nowMicros + RAISE_INTERVAL_MICROS, this::raiseWindows);
             }
         }
     }
 
-    private void tick() {
-        for (Destination d : filled) {
-            double raise = d.window * (RAISE - 1);
-            if (d.held > 0 && d.sentUnder >= raise && d.window < cap) {
-                move(d, min(cap, d.window * RAISE));
-                rouse(d);
+    private void raiseWindows() {
+        for (Destination destination : fullWindows) {
+            double raise = destination.window * (WINDOW_RAISE - 1);
+            if (destination.queuedMessages > 0 && destination.sentInGeneration >= raise
+                && destination.window < maxWindow) {
+                setWindow(destination, min(maxWindow, destination.window * WINDOW_RAISE));
+                markReady(destination);
             }
-            d.filled = false;
+            destination.windowFull = false;
         }
-        filled.clear();
+        fullWindows.clear();
     }
 
-    // ---- Pick
+    // ---- Selection of an endpoint
 
     private Endpoint[] endpoints = {};
-    private final long[] kindCrowdedAt;
+    /** By endpoint kind: when a connect was last refused, which suggests that connection tables are full. */
+    private final long[] kindCrowdedAtMicros;
 
-    /** Costs, as a part of an envelope's revenue, that halve an endpoint's turns. */
-    private static final double HALVES = 0.006;
+    /** Added to the latency of a call where calls are compared, so that very short latencies count alike. */
+    private static final long CALL_OVERHEAD_MICROS = 50 * MILLISECOND;
+    /** Cost as a share of a message's revenue that halves the calls an endpoint gets. */
+    private static final double HALVING_COST = 0.006;
 
-    private Endpoint pick(Destination d, Envelope e) {
+    /** Selects an endpoint for the message by smooth weighted round robin; null if none may have it now. */
+    private Endpoint selectEndpoint(Destination destination, Message message) {
         Endpoint best = null;
         double sum = 0;
-        for (Endpoint target : d.endpoints) {
-            double weight = usable(target, e) ? preference(target) : 0;
+        for (Endpoint endpoint : destination.endpoints) {
+            double weight = isUsable(endpoint, message) ? weight(endpoint) : 0;
             sum += weight;
-            target.turn += weight;
-            best = weight > 0 && (best == null || target.turn > best.turn) ? target : best;
+            endpoint.roundRobinWeight += weight;
+            best = weight > 0 && (best == null || endpoint.roundRobinWeight > best.roundRobinWeight)
+                ? endpoint
+                : best;
         }
         if (best != null) {
-            best.turn -= sum;
+            best.roundRobinWeight -= sum;
         }
         return best;
     }
 
-    /** Quick and healthy endpoints get more turns, dear ones fewer. */
-    private double preference(Endpoint target) {
-        return (1.05 - min(1, target.ill)) / (target.lat + 50 * MS) / dearness(target);
+    /** Returns the endpoint's share of calls: more for a fast and healthy one, less for an expensive one. */
+    private double weight(Endpoint endpoint) {
+        // 1.05 leaves a small share to an endpoint of which all calls fail.
+        return (1.05 - min(1, endpoint.failureShare)) / (endpoint.latencyMicros + CALL_OVERHEAD_MICROS)
+            / costFactor(endpoint);
     }
 
-    /** A crossing between zones, and a route's fee, take from the turns of an endpoint as from the result. */
-    private double dearness(Endpoint target) {
-        boolean hasFee = target.route != target.owner.shared && target.zone < fees.length;
-        return 1 + ((target.zone == zone ? 0 : crossing) + (hasFee ? fees[target.zone] : 0)) / HALVES;
+    /**
+     * Returns how much the price of another zone and the fee of an endpoint with its own limit reduce its
+     * calls.
+     */
+    private double costFactor(Endpoint endpoint) {
+        boolean hasFee = endpoint.limiter != endpoint.destination.sharedLimiter
+            && endpoint.zone < zoneFees.length;
+        return 1 + ((endpoint.zone == zone ? 0 : crossZonePrice) + (hasFee ? zoneFees[endpoint.zone] : 0))
+            / HALVING_COST;
     }
 
-    /** When this endpoint may have a call as far as time decides; NEVER where only an answer can tell. */
-    private long opensAt(Endpoint target) {
-        Route r = target.route;
-        if (target.phase != UP || target.calls >= target.callCap || target.sickSince >= 0 && target.calls > 0
-            || target.backSince >= 0 && target.calls >= target.backCap) {
+    /**
+     * Returns from when on the endpoint may have a call; NEVER if that depends on an answer or on the list.
+     */
+    private long availableAtMicros(Endpoint endpoint) {
+        RateLimiter limiter = endpoint.limiter;
+        if (endpoint.phase != PHASE_UP || endpoint.callsInFlight >= endpoint.callLimit
+            || endpoint.unhealthySinceMicros >= 0 && endpoint.callsInFlight > 0
+            || endpoint.recoveringSinceMicros >= 0 && endpoint.callsInFlight >= endpoint.recoveryCallLimit) {
             return NEVER;
         }
-        long from = max(r.waitUntil, target.owner.earned >= 1 ? 0 : target.crowdedAt);
-        from = r.tokens < 1 ? max(from, now + 1 + (long) ((1 - r.tokens) / speed(r) * SECOND)) : from;
-        if (target.sickSince >= 0) {
-            from = target.owner.earned >= 1 ? from : max(from, target.trialAt);
-        } else if (target.backSince >= 0 && target.budget < 1) {
-            double rate = ramp(target, now - target.backSince);
-            from = max(from, now + 1 + (long) ((1 - target.budget) / rate * SECOND));
+        long from = max(limiter.waitUntilMicros,
+            endpoint.destination.earnedCalls >= 1 ? 0 : endpoint.crowdedUntilMicros);
+        from = limiter.tokens < 1
+            ? max(from, nowMicros + 1 + (long) ((1 - limiter.tokens) / refillRate(limiter) * SECOND)) : from;
+        if (endpoint.unhealthySinceMicros >= 0) {
+            from = endpoint.destination.earnedCalls >= 1 ? from : max(from, endpoint.nextProbeAtMicros);
+        } else if (endpoint.recoveringSinceMicros >= 0 && endpoint.recoveryTokens < 1) {
+            double rate = recoveryRate(endpoint, nowMicros - endpoint.recoveringSinceMicros);
+            from = max(from, nowMicros + 1 + (long) ((1 - endpoint.recoveryTokens) / rate * SECOND));
         }
-        return target.lastSend == turns ? max(from, now + MS) : from;
+        return endpoint.lastBatchRound == rounds ? max(from, nowMicros + MILLISECOND) : from;
     }
 
-    private boolean usable(Endpoint target, Envelope e) {
-        // A trial may be lost: it is one that can be mended, unless the trouble proves that none ran.
-        return opensAt(target) <= now && knowsRepeat(target, e) && (target.sickSince < 0 ? e.shots == 0
-            || target.credit >= 1 : !target.mayHaveRun || !onceOnly(e) || now - target.trialAt > LONE_TRIAL);
+    private boolean isUsable(Endpoint endpoint, Message message) {
+        // A probe may lose its message. An at-most-once message, which could not be repeated, is a probe only
+        // if the failures prove that no call was executed, or if no other message has been one for some time.
+        return availableAtMicros(endpoint) <= nowMicros && recognizesRepeat(endpoint, message)
+            && (endpoint.unhealthySinceMicros < 0 ? message.attempts == 0 || endpoint.retryCredit >= 1
+                : !endpoint.mayHaveExecuted || !isAtMostOnce(message)
+                    || nowMicros - endpoint.nextProbeAtMicros > AT_MOST_ONCE_PROBE_DELAY_MICROS);
     }
 
-    private boolean onceOnly(Envelope e) {
-        return offerings[e.offering].semantics() == PolicySettings.DeliverySemantics.AT_MOST_ONCE;
+    private boolean isAtMostOnce(Message message) {
+        return messageClasses[message.messageClass]
+            .semantics() == DeliverySemantics.AT_MOST_ONCE;
     }
 
-    private boolean knowsRepeat(Endpoint target, Envelope e) {
-        return e.doubtSince < 0 || !offerings[e.offering].deduplicatedPerZone() || target.zone == e.doubtZone;
+    /** Returns whether an attempt there can't have an effect a second time because of the zone. */
+    private boolean recognizesRepeat(Endpoint endpoint, Message message) {
+        return message.uncertainSinceMicros < 0 || !messageClasses[message.messageClass].deduplicatedPerZone()
+            || endpoint.zone == message.uncertainZone;
     }
 
-    // ---- Pace
+    // ---- Send rate
 
-    private static final double PACE_UP = 0.015, PACE_DOWN = 0.85, PACE_FLOOR = 0.5, QUIET = 4,
-        PACE_START = 1.2, LENT = 0.05, ALONE = 5, AT_ONCE = 0.5, SPARED = 0.2, CATCH_UP = 8;
-    // What a further envelope weighs in a call, at most, and the weight that a ramp may run ahead, once warm.
-    private static final double FURTHER = 0.25, DEBT = 2;
+    /** Raise of the send rate by each delivery, as a share of it. */
+    private static final double SEND_RATE_RAISE = 0.015;
+    /** Factor for the send rate after an overload whose refusal has no price. */
+    private static final double SEND_RATE_CUT = 0.85;
+    /** The lowest send rate, as a multiple of the even share of a relay. */
+    private static final double MIN_SEND_RATE = 0.5;
+    /** Deliveries without an overload after which each further one raises the send rate by one more step. */
+    private static final double DELIVERIES_PER_RAISE_STEP = 4;
+    /** The first send rate, as a multiple of the even share of a relay. */
+    private static final double INITIAL_SEND_RATE = 1.2;
+    /**
+     * The largest share of the limit that a relay takes beyond its even share, as others leave some unused.
+     */
+    private static final double MAX_LENT_SHARE = 0.05;
+    private static final double LONE_MESSAGE_ATTEMPTS = 5;
+    /**
+     * The part of the reported unused share that one relay sends for, and the share that it leaves for
+     * others.
+     */
+    private static final double USED_PART_OF_REMAINDER = 0.5;
+    private static final double RESERVED_SHARE = 0.2;
+    /** The highest send rate into the unused share, as a multiple of the rate of arrivals. */
+    private static final double MAX_CATCH_UP = 8;
+    /** The highest weight of each further message of a call, beside 1 for the first. */
+    private static final double FURTHER_MESSAGE_WEIGHT = 0.25;
+    /**
+     * The weight of messages that may be sent ahead of the recovery rate once the destination has warmed up.
+     */
+    private static final double MAX_RECOVERY_DEBT = 2;
 
-    private double rateOf(Route r) {
-        return r.told > 0 ? r.told : r.listed;
+    /**
+     * Returns the calls per second from all relays by load report or list; not above 0 if neither is known.
+     */
+    private double knownRate(RateLimiter limiter) {
+        return limiter.reportedLimit > 0 ? limiter.reportedLimit : limiter.listedRate;
     }
 
     /**
-     * Calls a second a route takes from all relays, roughly. Where nothing is told or listed, what this relay
-     * is asked for there stands in, with the mean over all destinations as one envelope's worth of doubt.
+     * Returns roughly the calls per second, from all relays, that the destination or endpoint accepts. If no
+     * rate is reported or listed, the estimate is the arrivals at this relay times the number of relays; the
+     * mean over all destinations counts as the estimate's first message.
      */
-    private double sizeOf(Route r) {
-        double known = rateOf(r);
+    private double estimatedRate(RateLimiter limiter) {
+        double known = knownRate(limiter);
         if (known > 0) {
             return known;
         }
-        double since = IDLE * (1 - Math.exp((began - now) / (double) IDLE)) / SECOND;
-        double each = max(1, askedInAll.by(now, 0)) / destinations.size();
-        return relays * (r.of.asked.by(now, 0) + 1) / max(1, since) / (1 + 1 / each)
-            / (r == r.of.shared ? 1 : max(1, r.of.endpoints.length));
-    }
-
-    /** This relay's even part, and what others leave: the limit once for all, or a call for one envelope. */
-    private double part(Route r) {
-        double lent = r.told > 0 ? 0 : min(LENT, max(1.0 / relays, lone / rateOf(r)));
-        return rateOf(r) * (PACE_START / relays + lent * (1 - 1.0 / relays));
-    }
-
-    /** Where the limit's share left is told, what is unused now may be sent for by whoever has envelopes. */
-    private double speed(Route r) {
-        return r.told > 0 ? max(r.pace, min(CATCH_UP * r.of.asked.by(now, 0) * SECOND / IDLE,
-            r.told * AT_ONCE * (r.left - SPARED) / (1 + r.refusals.by(now, 0)))) : r.pace;
-    }
-
-    private void refill(Endpoint target) {
-        Route r = target.route;
-        r.pace = r.pace > 0 ? r.pace : part(r);
-        // A destination that says it has no limit is left to the window: an even part of a guessed rate
-        // kept envelopes waiting wherever many relays send little each.
-        r.tokens = !(r.pace > 0) || r.told == 0 ? slots
-            : min(max(1, r.pace * 0.5), r.tokens + speed(r) * (now - r.tokensAt) / SECOND);
-        r.tokensAt = now;
-        if (now - target.backSince > coldFor) {
-            target.backSince = -1;
-        } else if (target.backSince >= 0) {
-            double rate = ramp(target, now - target.backSince);
-            target.budget = min(max(1, rate / 2), target.budget + rate * (now - target.budgetAt) / SECOND);
-            target.budgetAt = now;
-        }
-    }
-
-    private void refused(Route r, Call call, long wait) {
-        r.fulls++;
-        r.answers = 0;
-        r.refusals.by(now, 1);
-        if (call.generation == call.to.generation) {
-            double even = rateOf(r) / relays, own = PACE_START * even;
-            // A lone envelope fills no limit; a second refusal would keep it waiting past its time.
-            double cut = r.of.asked.by(now, 0) < 2 ? PACE_DOWN : pricedCut;
-            r.pace = max(PACE_FLOOR * even, cut * (r.pace > own ? (r.pace + own) / 2 : r.pace));
-        }
-        // Many refused at one moment, as by a full queue, would all have their next token at one moment too.
-        r.tokens -= (1 - 1.0 / relays) * chance();
-        double spread = wait > SHUT_AFTER ? trialGap(call.endpoint) - 2 * SECOND : 0;
-        double pause = max(pauseAfter(sizeOf(r), r.fulls), spread);
-        r.waitUntil = max(r.waitUntil, now + wait + (long) (wait > 0 ? pause * chance() : pause));
-    }
-
-    private double pauseAfter(double rate, int run) {
-        // Guards against refusals feeding on themselves where refused calls use up the limit, and many relays
-        // back at one moment: in a run the pause grows past this relay's even part of the limit.
-        double one = SECOND / max(0.1, rate);
-        double growth = Math.pow(2 + min(2, relays / 24.0), min(9, run - 1)) * (0.75 + chance() / 2);
-        return min(max(2 * SECOND, 1.5 * relays * one), max(120 * MS, min(relays / 40.0, 30) * one) * growth);
-    }
-
-    // ---- Health and return
-
-    private boolean isSick(Destination d) {
-        return Arrays.stream(d.endpoints).anyMatch(i -> i.phase == UP && (i.sickSince >= 0 || i.ill > 0.3));
-    }
-
-    private void learn(Call call, int outcome, long elapsed) {
-        Endpoint target = call.endpoint;
-        // Guards against connections that the other side closed unseen: a reset at once on a kept one tells
-        // nothing of health, and where these are not rare, new connections cost less. Not every caller can
-        // tell a kept connection from a new one, so the time tells: a round trip, well under an answer's.
-        boolean inVain = (outcome == PolicyActions.STALE_CONNECTION
-            || outcome == PolicyActions.CONNECTION_LOST) && elapsed < target.lat / 2;
-        stale += inVain ? 0.06 * (1 - stale) : 0;
-        if (inVain || outcome == PolicyActions.CANCELLED || outcome == PolicyActions.NOT_EXECUTED) {
+        double countedSeconds = RETENTION_MICROS
+            * (1 - Math.exp((startedAtMicros - nowMicros) / (double) RETENTION_MICROS)) / SECOND;
+        double meanArrivals = max(1, allRecentArrivals.add(nowMicros, 0)) / destinations.size();
+        return relayCount * (limiter.destination.recentArrivals.add(nowMicros, 0) + 1)
+            / max(1, countedSeconds)
+            / (1 + 1 / meanArrivals)
+            / (limiter == limiter.destination.sharedLimiter ? 1
+                : max(1, limiter.destination.endpoints.length));
+    }
+
+    /**
+     * Returns the first send rate of this relay: its even share of the limit and, unless load reports tell
+     * what is unused, a part of what other relays leave: as much as lets a lone message be attempted several
+     * times.
+     */
+    private double initialSendRate(RateLimiter limiter) {
+        double lentShare = limiter.reportedLimit > 0 ? 0
+            : min(MAX_LENT_SHARE, max(1.0 / relayCount, loneMessageRate / knownRate(limiter)));
+        return knownRate(limiter) * (INITIAL_SEND_RATE / relayCount + lentShare * (1 - 1.0 / relayCount));
+    }
+
+    /**
+     * Returns the tokens per second of the limiter: the send rate, or more where load reports tell that a
+     * share of the limit is unused. Any relay with queued messages may send into that.
+     */
+    private double refillRate(RateLimiter limiter) {
+        return limiter.reportedLimit > 0 ? max(limiter.sendRate,
+            min(MAX_CATCH_UP * limiter.destination.recentArrivals.add(nowMicros, 0) * SECOND
+                / RETENTION_MICROS,
+                limiter.reportedLimit * USED_PART_OF_REMAINDER * (limiter.remainingShare - RESERVED_SHARE)
+                    / (1 + limiter.recentOverloads.add(nowMicros, 0))))
+            : limiter.sendRate;
+    }
+
+    private void refillTokens(Endpoint endpoint) {
+        RateLimiter limiter = endpoint.limiter;
+        limiter.sendRate = limiter.sendRate > 0 ? limiter.sendRate : initialSendRate(limiter);
+        // A destination that reports no limit is held by the window alone: with an even share of an estimated
+        // rate, messages would wait wherever many relays send little each.
+        limiter.tokens = !(limiter.sendRate > 0) || limiter.reportedLimit == 0 ? maxConcurrentCalls
+            : min(max(1, limiter.sendRate * 0.5),
+                limiter.tokens + refillRate(limiter) * (nowMicros - limiter.tokensAtMicros) / SECOND);
+        limiter.tokensAtMicros = nowMicros;
+        if (nowMicros - endpoint.recoveringSinceMicros > warmUpMicros) {
+            endpoint.recoveringSinceMicros = -1;
+        } else if (endpoint.recoveringSinceMicros >= 0) {
+            double rate = recoveryRate(endpoint, nowMicros - endpoint.recoveringSinceMicros);
+            endpoint.recoveryTokens = min(max(1, rate / 2),
+                endpoint.recoveryTokens + rate * (nowMicros - endpoint.recoveryTokensAtMicros) / SECOND);
+            endpoint.recoveryTokensAtMicros = nowMicros;
+        }
+    }
+
+    /** Reduces the send rate and pauses after a call was answered with OVERLOADED. */
+    private void recordOverload(RateLimiter limiter, Call call, long retryAfterMicros) {
+        limiter.overloadRun++;
+        limiter.deliveriesSinceOverload = 0;
+        limiter.recentOverloads.add(nowMicros, 1);
+        if (call.windowGeneration == call.destination.windowGeneration) {
+            double evenShare = knownRate(limiter) / relayCount;
+            double initial = INITIAL_SEND_RATE * evenShare;
+            // A lone message can't exceed a limit; after a deeper cut a second overload would delay it too
+            // long.
+            double cut = limiter.destination.recentArrivals.add(nowMicros, 0) < 2 ? SEND_RATE_CUT
+                : overloadRateCut;
+            limiter.sendRate = max(MIN_SEND_RATE * evenShare, cut * (limiter.sendRate > initial
+                ? (limiter.sendRate + initial) / 2 : limiter.sendRate));
+        }
+        // Many relays that are refused at one moment, as by a full queue, would all get their next token at
+        // one moment too.
+        limiter.tokens -= (1 - 1.0 / relayCount) * random();
+        double spreadMicros = retryAfterMicros > LONG_RETRY_AFTER_MICROS
+            ? probeIntervalMicros(call.endpoint) - 2 * SECOND : 0;
+        double pauseMicros = max(overloadPauseMicros(estimatedRate(limiter), limiter.overloadRun),
+            spreadMicros);
+        limiter.waitUntilMicros = max(limiter.waitUntilMicros, nowMicros + retryAfterMicros
+            + (long) (retryAfterMicros > 0 ? pauseMicros * random() : pauseMicros));
+    }
+
+    /** Returns a random pause after the given number of overloads or refused connects in a run. */
+    private double overloadPauseMicros(double callsPerSecond, int run) {
+        // Where refused calls use up the limit and many relays retry at one moment, refusals would cause
+        // further refusals. So the pause grows with the run, beyond the time in which the even share of this
+        // relay is a call.
+        double callIntervalMicros = SECOND / max(0.1, callsPerSecond);
+        double growth = Math.pow(2 + min(2, relayCount / 24.0), min(9, run - 1)) * (0.75 + random() / 2);
+        return min(max(2 * SECOND, 1.5 * relayCount * callIntervalMicros),
+            max(120 * MILLISECOND, min(relayCount / 40.0, 30) * callIntervalMicros) * growth);
+    }
+
+    // ---- Health and recovery of endpoints
+
+    private boolean isUnhealthy(Destination destination) {
+        return Arrays.stream(destination.endpoints).anyMatch(endpoint -> endpoint.phase == PHASE_UP
+            && (endpoint.unhealthySinceMicros >= 0 || endpoint.failureShare > SUSPECT_FAILURE_SHARE));
+    }
+
+    /** Updates what is known of the endpoint by the outcome of a call. */
+    private void observeOutcome(Call call, int outcome, long elapsedMicros) {
+        Endpoint endpoint = call.endpoint;
+        // A reset at once on a kept connection, which the endpoint closed unseen, says nothing of its health;
+        // where such connections are frequent, new ones cost less. Not every caller can tell a kept
+        // connection from a new one, so the time decides: a round trip, which is well below the time to an
+        // answer.
+        boolean isStaleConnection = (outcome == PolicyActions.STALE_CONNECTION
+            || outcome == PolicyActions.CONNECTION_LOST) && elapsedMicros < endpoint.latencyMicros / 2;
+        staleConnectionShare += isStaleConnection ? STALE_CONNECTION_SMOOTHING * (1 - staleConnectionShare)
+            : 0;
+        if (isStaleConnection || outcome == PolicyActions.CANCELLED
+            || outcome == PolicyActions.NOT_EXECUTED) {
             return;
         }
         if (outcome == PolicyActions.DELIVERED || outcome == PolicyActions.OVERLOADED) {
-            target.lastAnswer = now;
-            target.credit = min(CREDIT_MOST,
-                target.credit + (outcome == PolicyActions.OVERLOADED ? 1 : CREDIT_GAIN));
+            endpoint.lastAnswerAtMicros = nowMicros;
+            endpoint.retryCredit = min(MAX_RETRY_CREDIT, endpoint.retryCredit
+                + (outcome == PolicyActions.OVERLOADED ? 1 : RETRY_CREDIT_PER_DELIVERY));
         }
         if (outcome == PolicyActions.OVERLOADED) {
-            target.trialAt = max(target.trialAt, target.route.waitUntil);
+            endpoint.nextProbeAtMicros = max(endpoint.nextProbeAtMicros, endpoint.limiter.waitUntilMicros);
             return;
         }
         if (outcome == PolicyActions.DELIVERED) {
-            learnDelivered(call, elapsed);
+            observeDelivery(call, elapsedMicros);
             return;
         }
-        target.lastAnswer = outcome == PolicyActions.ERROR || outcome >= PolicyActions.CONNECTION_LOST ? now
-            : target.lastAnswer;
-        target.badRun++;
-        target.lastBad = outcome;
-        if (outcome == PolicyActions.TIMEOUT && target.badRun > 1) {
-            target.lat = max(target.lat, min(elapsed, 2 * target.lat));
-        }
-        boolean ran = outcome != PolicyActions.UNREACHABLE, turnedAway = !ran && elapsed < connectFor;
-        int run = Arrays.stream(call.to.endpoints)
-            .mapToInt(i -> i.phase == UP && i.route == target.route ? i.badRun : 0).sum();
-        long pause = (long) pauseAfter(sizeOf(target.route) / max(1, target.route.members), run + 1);
-        if (turnedAway && target.sickSince < 0 && target.backSince < 0 && run < CROWDED_RUN) {
-            // Guards against reading a full connection table, which turns calls away at once, as an outage:
-            // it takes a run of failures over all endpoints.
-            target.callCap = max(1, min(target.callCap, target.calls));
-            kindCrowdedAt[target.kind] = now;
-            call.to.earned = 0;
-            for (Endpoint i : call.to.endpoints) {
-                i.crowdedAt = i.badRun > 0 && i.route == target.route ? now + pause : i.crowdedAt;
+        endpoint.lastAnswerAtMicros = outcome == PolicyActions.ERROR
+            || outcome >= PolicyActions.CONNECTION_LOST
+                ? nowMicros : endpoint.lastAnswerAtMicros;
+        endpoint.consecutiveFailures++;
+        endpoint.lastFailure = outcome;
+        if (outcome == PolicyActions.TIMEOUT && endpoint.consecutiveFailures > 1) {
+            endpoint.latencyMicros = max(endpoint.latencyMicros,
+                min(elapsedMicros, 2 * endpoint.latencyMicros));
+        }
+        boolean mayHaveExecuted = outcome != PolicyActions.UNREACHABLE;
+        boolean connectRefused = !mayHaveExecuted && elapsedMicros < refusedConnectMicros;
+        int run = Arrays.stream(call.destination.endpoints)
+            .mapToInt(other -> other.phase == PHASE_UP && other.limiter == endpoint.limiter
+                ? other.consecutiveFailures : 0)
+            .sum();
+        long pauseMicros = (long) overloadPauseMicros(
+            estimatedRate(endpoint.limiter) / max(1, endpoint.limiter.endpointsUp), run + 1);
+        if (connectRefused && endpoint.unhealthySinceMicros < 0 && endpoint.recoveringSinceMicros < 0
+            && run < OUTAGE_REFUSED_CONNECTS) {
+            // An endpoint with a full connection table refuses connects at once, which must not count as an
+            // outage. That takes a run of failures over all endpoints that share the limit.
+            endpoint.callLimit = max(1, min(endpoint.callLimit, endpoint.callsInFlight));
+            kindCrowdedAtMicros[endpoint.kind] = nowMicros;
+            call.destination.earnedCalls = 0;
+            for (Endpoint other : call.destination.endpoints) {
+                other.crowdedUntilMicros = other.consecutiveFailures > 0 && other.limiter == endpoint.limiter
+                    ? nowMicros + pauseMicros : other.crowdedUntilMicros;
             }
             return;
         }
-        target.ill += 0.2 * (1 - target.ill);
-        if (target.sickSince >= 0) {
-            target.mayHaveRun |= ran;
-            target.trialAt = now + trialGap(target);
-        } else if (target.ill > 0.5 || target.backSince < 0 && !ran
-            || target.backSince >= 0 && target.ill > 0.3) {
-            // Most calls must fail, not a few of many: a thin spread of resets is no outage, and ramping for
-            // one costs more than it loses. An endpoint just back is doubted sooner. A connect that ran into
-            // its time speaks for all of the route not heard since: they mostly go together.
-            boolean all = !ran && !turnedAway;
-            for (Endpoint i : call.to.endpoints) {
-                if (i == target || all && i.route == target.route && i.lastAnswer < call.sentAt) {
-                    sicken(i, ran);
+        endpoint.failureShare += FAILURE_SMOOTHING * (1 - endpoint.failureShare);
+        if (endpoint.unhealthySinceMicros >= 0) {
+            endpoint.mayHaveExecuted |= mayHaveExecuted;
+            endpoint.nextProbeAtMicros = nowMicros + probeIntervalMicros(endpoint);
+        } else if (endpoint.failureShare > UNHEALTHY_FAILURE_SHARE
+            || endpoint.recoveringSinceMicros < 0 && !mayHaveExecuted
+            || endpoint.recoveringSinceMicros >= 0 && endpoint.failureShare > SUSPECT_FAILURE_SHARE) {
+            // Most calls must fail, not a few of many: a few resets are no outage, and a recovery at a
+            // reduced rate costs more than they lose. While an endpoint recovers, fewer failures are enough.
+            // A connect that ran into its timeout stands for all endpoints that share the limit and haven't
+            // answered since, as they mostly fail together.
+            boolean connectTimedOut = !mayHaveExecuted && !connectRefused;
+            for (Endpoint other : call.destination.endpoints) {
+                if (other == endpoint || connectTimedOut && other.limiter == endpoint.limiter
+                    && other.lastAnswerAtMicros < call.startedAtMicros) {
+                    markUnhealthy(other, mayHaveExecuted);
                 }
             }
         }
     }
 
-    private void learnDelivered(Call call, long elapsed) {
-        Endpoint target = call.endpoint;
-        Route r = target.route;
-        r.fulls /= 2;
-        // Raised by answers, not by time: where many relays send little each, a raise a tick outran cuts.
-        double raise = PACE_UP * (1 + r.answers++ / QUIET) * max(PACE_START * rateOf(r) / relays, r.pace);
-        raise = now - r.pressedAt < TICK ? raise : 0;
-        r.pace = min(max(r.pace, rateOf(r)), r.pace + raise);
-        if (target.callCap < NO_CAP && now - target.crowdedAt > SECOND) {
-            target.callCap++;
-            target.crowdedAt = now;
-        }
-        boolean alone = target.badRun == 1 && elapsed < 2 * target.lat;
-        lost += 0.03 * ((alone && target.lastBad == PolicyActions.TIMEOUT ? 1 : 0) - lost);
-        stale *= 0.97;
-        renewUntil = max(lost, stale) > 2 * LOSSY ? now + RENEW_FOR : renewUntil;
-        target.badRun = 0;
-        target.ill *= 0.8;
-        usual += 0.05 * (min(elapsed, 4 * usual) - usual);
-        double off = min(elapsed, 4 * target.lat) - target.lat;
-        target.lat += 0.15 * off;
-        target.spread += 0.15 * (Math.abs(off) - target.spread);
-        // Guards against ramps where answers get lost: one in time to a call from before ends no outage.
-        boolean falseAlarm = call.sentAt <= target.sickSince && elapsed < SECOND;
-        if (target.sickSince >= 0 && !falseAlarm && (target.ill >= 0.15 || target.mayHaveRun)) {
-            // As they mostly go together, so they return: each is ramped, and doubted sooner.
-            Arrays.stream(call.to.endpoints).filter(i -> i == target || i.sickSince >= 0
-                && i.route == target.route).forEach(this::back);
-        } else if (target.backSince >= 0) {
-            target.backCap++;
-        }
-        well(target);
-    }
-
-    private static final double CREDIT_MOST = 8, CREDIT_GAIN = 0.5, LOSSY = 0.04, USUAL_LAT = 0.5 * SECOND;
-    private static final long RENEW_FOR = 30 * SECOND, CROWDED_FOR = 60 * SECOND, SHUT_AFTER = 2500 * MS,
-        LONE_TRIAL = 3 * SECOND, HOPELESS = 1500 * MS;
-    private double lost, stale, usual = USUAL_LAT;
-
-    private void sicken(Endpoint target, boolean ran) {
-        if (target.sickSince < 0) {
-            out.endpointHealthChanged(target.id, false);
-        }
-        target.sickSince = now;
-        target.backSince = -1;
-        target.owner.earned = 0;
-        target.mayHaveRun = ran;
-        target.trialAt = now + trialGap(target);
-    }
-
-    private void back(Endpoint target) {
-        target.backSince = target.budgetAt = now;
-        target.backCap = 1;
-        target.budget = min(1, ramp(target, 0) * fallFor / SECOND / 3);
-        target.ill = target.badRun = 0;
-        well(target);
-    }
-
-    private void well(Endpoint target) {
-        if (target.sickSince >= 0) {
-            out.endpointHealthChanged(target.id, true);
-        }
-        target.sickSince = -1;
+    private void observeDelivery(Call call, long elapsedMicros) {
+        Endpoint endpoint = call.endpoint;
+        RateLimiter limiter = endpoint.limiter;
+        limiter.overloadRun /= 2;
+        // Deliveries raise the send rate, not time: where many relays send little each, a raise at each
+        // interval would exceed the cuts.
+        double raise = SEND_RATE_RAISE * (1 + limiter.deliveriesSinceOverload++ / DELIVERIES_PER_RAISE_STEP)
+            * max(INITIAL_SEND_RATE * knownRate(limiter) / relayCount, limiter.sendRate);
+        raise = nowMicros - limiter.throttledAtMicros < RAISE_INTERVAL_MICROS ? raise : 0;
+        limiter.sendRate = min(max(limiter.sendRate, knownRate(limiter)), limiter.sendRate + raise);
+        if (endpoint.callLimit < NO_CALL_LIMIT && nowMicros - endpoint.crowdedUntilMicros > SECOND) {
+            endpoint.callLimit++;
+            endpoint.crowdedUntilMicros = nowMicros;
+        }
+        boolean wasSingleFailure = endpoint.consecutiveFailures == 1
+            && elapsedMicros < 2 * endpoint.latencyMicros;
+        lostAnswerShare += LOST_ANSWER_SMOOTHING
+            * ((wasSingleFailure && endpoint.lastFailure == PolicyActions.TIMEOUT ? 1 : 0) - lostAnswerShare);
+        staleConnectionShare *= STALE_CONNECTION_DECAY;
+        renewConnectionsUntilMicros = max(lostAnswerShare, staleConnectionShare) > 2 * FREQUENT_LOSS_SHARE
+            ? nowMicros + RENEW_CONNECTIONS_MICROS : renewConnectionsUntilMicros;
+        endpoint.consecutiveFailures = 0;
+        endpoint.failureShare *= FAILURE_DECAY;
+        usualLatencyMicros += USUAL_LATENCY_SMOOTHING
+            * (min(elapsedMicros, 4 * usualLatencyMicros) - usualLatencyMicros);
+        double deviation = min(elapsedMicros, 4 * endpoint.latencyMicros) - endpoint.latencyMicros;
+        endpoint.latencyMicros += LATENCY_SMOOTHING * deviation;
+        endpoint.latencyDeviationMicros += LATENCY_SMOOTHING
+            * (Math.abs(deviation) - endpoint.latencyDeviationMicros);
+        // Where answers get lost, an answer in time to a call from before the endpoint counted as unhealthy
+        // shows that there was no outage. No recovery at a reduced rate is needed then.
+        boolean falseAlarm = call.startedAtMicros <= endpoint.unhealthySinceMicros && elapsedMicros < SECOND;
+        if (endpoint.unhealthySinceMicros >= 0 && !falseAlarm
+            && (endpoint.failureShare >= RAMP_FAILURE_SHARE || endpoint.mayHaveExecuted)) {
+            // Endpoints of a destination mostly fail together, so they return together: all that share the
+            // limit recover at a reduced rate and count as unhealthy again after fewer failures.
+            Arrays.stream(call.destination.endpoints).filter(other -> other == endpoint
+                || other.unhealthySinceMicros >= 0 && other.limiter == endpoint.limiter)
+                .forEach(this::beginRecovery);
+        } else if (endpoint.recoveringSinceMicros >= 0) {
+            endpoint.recoveryCallLimit++;
+        }
+        markHealthy(endpoint);
     }
 
     /**
-     * What this relay may send a second to an endpoint back from an outage: its part, among the relays that
-     * can have met it, of half of what the destination bears (arrivals earn the rest) and what others send.
+     * The failure share above which an endpoint is unhealthy: most of its calls must fail, not a few of many.
+     */
+    private static final double UNHEALTHY_FAILURE_SHARE = 0.5;
+    /**
+     * The lower threshold of an endpoint that recovers, and of endpoints that reduce their destination's
+     * window.
+     */
+    private static final double SUSPECT_FAILURE_SHARE = 0.3;
+    /** The failure share from which on an endpoint that is healthy again recovers at a reduced rate. */
+    private static final double RAMP_FAILURE_SHARE = 0.15;
+    /** Weight of a failure in the failure share, and factor for the share at a delivery. */
+    private static final double FAILURE_SMOOTHING = 0.2;
+    private static final double FAILURE_DECAY = 0.8;
+    /** Weights of the latest value in moving averages. */
+    private static final double LATENCY_SMOOTHING = 0.15;
+    private static final double USUAL_LATENCY_SMOOTHING = 0.05;
+    private static final double LOST_ANSWER_SMOOTHING = 0.03;
+    private static final double STALE_CONNECTION_SMOOTHING = 0.06;
+    /** Factor for the share of stale connections at a delivery. */
+    private static final double STALE_CONNECTION_DECAY = 0.97;
+    /** Calls per second. */
+    private static final double MIN_PROBE_RATE = 0.01;
+    private static final long MIN_PROBE_INTERVAL_MICROS = 400 * MILLISECOND;
+    /** The longest interval between the probes of a relay, while this many relays or fewer probe. */
+    private static final long MAX_PROBE_INTERVAL_MICROS = 2500 * MILLISECOND;
+    private static final double RELAYS_AT_MAX_PROBE_INTERVAL = 6;
+    /**
+     * Shortest silence that counts as an outage; beyond, multiples of the latency, shorter with many calls.
+     */
+    private static final long MIN_SILENCE_MICROS = 700 * MILLISECOND;
+    private static final double SILENCE_LATENCIES = 2.5;
+    private static final double SILENCE_LATENCIES_OF_ONE_CALL = 4;
+    private static final double MAX_RETRY_CREDIT = 8;
+    private static final double RETRY_CREDIT_PER_DELIVERY = 0.5;
+    /** The share of lost answers or stale connections from which on they count as frequent. */
+    private static final double FREQUENT_LOSS_SHARE = 0.04;
+    private static final double DEFAULT_LATENCY_MICROS = 0.5 * SECOND;
+    /** How long idle connections are not used after losses were found to be frequent. */
+    private static final long RENEW_CONNECTIONS_MICROS = 30 * SECOND;
+    /** How long idle connections to endpoints of a kind are closed after one of them refused a connect. */
+    private static final long CROWDED_KIND_MICROS = 60 * SECOND;
+    /**
+     * A longer requested pause means that the endpoint is shut, not that a limit was exceeded for a moment.
      */
-    private double ramp(Endpoint target, long since) {
-        Route r = target.route;
-        double rate = r.told > 0 ? r.told : sizeOf(r) * rateDoubt;
-        double knowing = min(relays, max(1, rate * IDLE / SECOND));
-        return rate * (coldMultiple * warm(since) + 1 - knowing / relays) / knowing / max(1, r.members);
+    private static final long LONG_RETRY_AFTER_MICROS = 2500 * MILLISECOND;
+    private static final long AT_MOST_ONCE_PROBE_DELAY_MICROS = 3 * SECOND;
+    /** A call without an answer for longer, and for several times the latency, hardly gets one. */
+    private static final long HOPELESS_CALL_MICROS = 1500 * MILLISECOND;
+    /** Moving averages over all endpoints. */
+    private double lostAnswerShare;
+    private double staleConnectionShare;
+    private double usualLatencyMicros = DEFAULT_LATENCY_MICROS;
+
+    private void markUnhealthy(Endpoint endpoint, boolean mayHaveExecuted) {
+        if (endpoint.unhealthySinceMicros < 0) {
+            actions.endpointHealthChanged(endpoint.index, false);
+        }
+        endpoint.unhealthySinceMicros = nowMicros;
+        endpoint.recoveringSinceMicros = -1;
+        endpoint.destination.earnedCalls = 0;
+        endpoint.mayHaveExecuted = mayHaveExecuted;
+        endpoint.nextProbeAtMicros = nowMicros + probeIntervalMicros(endpoint);
+    }
+
+    private void beginRecovery(Endpoint endpoint) {
+        endpoint.recoveringSinceMicros = endpoint.recoveryTokensAtMicros = nowMicros;
+        endpoint.recoveryCallLimit = 1;
+        endpoint.recoveryTokens = min(1, recoveryRate(endpoint, 0) * collapseWindowMicros / SECOND / 3);
+        endpoint.failureShare = endpoint.consecutiveFailures = 0;
+        markHealthy(endpoint);
+    }
+
+    private void markHealthy(Endpoint endpoint) {
+        if (endpoint.unhealthySinceMicros >= 0) {
+            actions.endpointHealthChanged(endpoint.index, true);
+        }
+        endpoint.unhealthySinceMicros = -1;
+    }
+
+    /**
+     * Returns the calls per second that this relay may send to a recovering endpoint. The relays that can
+     * have noticed the recovery share somewhat less than half of what makes the destination collapse, as
+     * arriving messages earn the rest, and what the other relays would send.
+     */
+    private double recoveryRate(Endpoint endpoint, long recoveringForMicros) {
+        RateLimiter limiter = endpoint.limiter;
+        double rate = limiter.reportedLimit > 0 ? limiter.reportedLimit
+            : estimatedRate(limiter) * rateConfidence;
+        double awareRelays = min(relayCount, max(1, rate * RETENTION_MICROS / SECOND));
+        return rate * (recoveryMultiple * warmUpShare(recoveringForMicros) + 1 - awareRelays / relayCount)
+            / awareRelays / max(1, limiter.endpointsUp);
+    }
+
+    /**
+     * Counts an arriving message as a part of a full call to the unhealthy or recovering endpoints of its
+     * destination. By keys and bursts, the relays that send there at a time are a few with many messages
+     * each, which would wait too long if the rate were only divided evenly among all relays.
+     */
+    private void earnCalls(Destination destination) {
+        double part = recoveryMultiple
+            * (FURTHER_MESSAGE_WEIGHT + (1 - FURTHER_MESSAGE_WEIGHT) / destination.maxBatchSize);
+        destination.earnedCalls = min(1, destination.earnedCalls + part * warmUpInitialShare);
+        for (Endpoint endpoint : destination.endpoints) {
+            endpoint.recoveryTokens += endpoint.recoveringSinceMicros < 0 ? 0
+                : part * warmUpShare(nowMicros - endpoint.recoveringSinceMicros)
+                    / max(1, endpoint.limiter.endpointsUp);
+        }
+    }
+
+    /** Returns the share of its capacity that a destination has the given time after its return. */
+    private double warmUpShare(long recoveringForMicros) {
+        return warmUpInitialShare
+            + (1 - warmUpInitialShare) * min(1, recoveringForMicros / (double) warmUpMicros);
+    }
+
+    private long probeIntervalMicros(Endpoint endpoint) {
+        double interval = SECOND / max(MIN_PROBE_RATE, recoveryRate(endpoint, 0));
+        // The probes of all relays add up: at most one every 2.5 s from each of many relays would overload a
+        // destination that returns, so the longest interval grows with the number of relays.
+        double maxInterval = MAX_PROBE_INTERVAL_MICROS
+            * max(1, relayCount * endpoint.limiter.endpointsUp / RELAYS_AT_MAX_PROBE_INTERVAL);
+        return (long) (max(MIN_PROBE_INTERVAL_MICROS, min(maxInterval, interval)) * (0.9 + 0.2 * random()));
     }
 
     /**
-     * Each envelope that comes for what is sick or back earns its part of a full call. Who sends there now
-     * are a few relays with much for it, by keys and clumps: an even part over all kept these waiting.
+     * Marks an endpoint as unhealthy if its calls have been without an answer for much longer than its
+     * answers take, or checks again when that will be so.
      */
-    private void earn(Destination d) {
-        double part = coldMultiple * (FURTHER + (1 - FURTHER) / d.bundle);
-        d.earned = min(1, d.earned + part * coldFrom);
-        for (Endpoint target : d.endpoints) {
-            target.budget += target.backSince < 0 ? 0
-                : part * warm(now - target.backSince) / max(1, target.route.members);
-        }
-    }
-
-    private double warm(long since) {
-        return coldFrom + (1 - coldFrom) * min(1, since / (double) coldFor);
-    }
-
-    private long trialGap(Endpoint target) {
-        double gap = SECOND / max(0.01, ramp(target, 0));
-        // Many relays' trials add up: at their even part a call each 2.5 s would push over what returns.
-        double most = 2500 * MS * max(1, relays * target.route.members / 6.0);
-        return (long) (max(400 * MS, min(most, gap)) * (0.9 + 0.2 * chance()));
-    }
-
-    /** Silence is no outcome: shots out for far longer than answers take here say that none will come. */
-    private void listen(Endpoint target) {
-        boolean idle = target.calls == 0 || target.sickSince >= 0;
-        // One answer may be lost anywhere; silence is two that stay away long, or one after two failures.
-        int needed = target.badRun > 1 ? 1 : 2;
-        for (Call call : idle ? List.<Call>of() : callsOut) {
-            if (call.endpoint == target && --needed == 0) {
-                long quiet = max(call.sentAt, target.lastAnswer) + 1
-                    + (long) max(700 * MS, target.lat * (2.5 + 4.0 / target.calls));
-                if (now >= quiet) {
-                    sicken(target, true);
-                    rouse(call.to);
-                } else if (target.listenAt <= now || quiet < target.listenAt) {
-                    target.listenAt = quiet;
-                    later(quiet, () -> listen(target));
+    private void checkSilence(Endpoint endpoint) {
+        boolean needsNoCheck = endpoint.callsInFlight == 0 || endpoint.unhealthySinceMicros >= 0;
+        // A single answer may get lost anywhere: it takes two calls without an answer, or one after two
+        // failures.
+        int unansweredCalls = endpoint.consecutiveFailures > 1 ? 1 : 2;
+        for (Call call : needsNoCheck ? List.<Call>of() : activeCalls) {
+            if (call.endpoint == endpoint && --unansweredCalls == 0) {
+                long silentAtMicros = max(call.startedAtMicros, endpoint.lastAnswerAtMicros) + 1
+                    + (long) max(MIN_SILENCE_MICROS,
+                        endpoint.latencyMicros
+                            * (SILENCE_LATENCIES + SILENCE_LATENCIES_OF_ONE_CALL / endpoint.callsInFlight));
+                if (nowMicros >= silentAtMicros) {
+                    markUnhealthy(endpoint, true);
+                    markReady(call.destination);
+                } else if (endpoint.silenceCheckAtMicros <= nowMicros
+                    || silentAtMicros < endpoint.silenceCheckAtMicros) {
+                    endpoint.silenceCheckAtMicros = silentAtMicros;
+                    schedule(silentAtMicros, () -> checkSilence(endpoint));
                 }
                 return;
             }
         }
     }
 
-    // ---- Further shots
+    // ---- Attempts
 
-    private long patience(Envelope e, Endpoint target) {
-        // Answers lost one by one, with others at their usual pace around them, won't come; but where whole
-        // endpoints stall or queue, a short time-out only adds to their work.
-        double within = lost > LOSSY ? max(600 * MS, target.lat + 4 * target.spread) : timeOut(target.lat);
-        // Giving up on a once-only shot gains nothing: the envelope may have run and could not go again.
-        return onceOnly(e) || now + within >= e.expiry ? 0 : (long) within;
+    /** The timeout of an attempt: a multiple of the endpoint's latency, but not below the minimum. */
+    private static final long MIN_TIMEOUT_MICROS = 1500 * MILLISECOND;
+    private static final double TIMEOUT_LATENCIES = 6;
+    /** The same where answers often get lost: the latency and a multiple of its deviation. */
+    private static final long MIN_LOSSY_TIMEOUT_MICROS = 600 * MILLISECOND;
+    private static final double LOSSY_TIMEOUT_DEVIATIONS = 4;
+
+    /** Returns the timeout of an attempt; 0 to wait for its answer until the message expires. */
+    private long attemptTimeoutMicros(Message message, Endpoint endpoint) {
+        // Where single answers get lost and others arrive in their usual time, a lost one won't come. But
+        // where whole endpoints stall or queue their calls, a short timeout only adds to their work.
+        double timeoutMicros = lostAnswerShare > FREQUENT_LOSS_SHARE
+            ? max(MIN_LOSSY_TIMEOUT_MICROS,
+                endpoint.latencyMicros + LOSSY_TIMEOUT_DEVIATIONS * endpoint.latencyDeviationMicros)
+            : defaultTimeoutMicros(endpoint.latencyMicros);
+        // A timeout of an at-most-once attempt gains nothing: it may have been executed, so it can't be
+        // repeated.
+        return isAtMostOnce(message) || nowMicros + timeoutMicros >= message.expiresAtMicros ? 0
+            : (long) timeoutMicros;
     }
 
-    private static long timeOut(double usually) {
-        return (long) max(1500 * MS, 6 * usually);
+    private static long defaultTimeoutMicros(double latencyMicros) {
+        return (long) max(MIN_TIMEOUT_MICROS, TIMEOUT_LATENCIES * latencyMicros);
     }
 
-    private void send(Envelope e, Call call) {
-        unhold(e);
-        Endpoint target = call.endpoint;
-        out.send(e.id, target.id, patience(e, target), e.giveUpAt);
-        target.credit = max(0, target.credit - min(1, e.shots));
-        e.shots++;
-        e.call = call;
-        target.budget -= call.carried.isEmpty() ? 1 : FURTHER;
-        call.carried.add(e);
-        call.left++;
-        call.to.sentUnder++;
+    private void send(Message message, Call call) {
+        dequeue(message);
+        Endpoint endpoint = call.endpoint;
+        actions.send(message.index, endpoint.index, attemptTimeoutMicros(message, endpoint),
+            message.sendByMicros);
+        endpoint.retryCredit = max(0, endpoint.retryCredit - min(1, message.attempts));
+        message.attempts++;
+        message.call = call;
+        endpoint.recoveryTokens -= call.messages.isEmpty() ? 1 : FURTHER_MESSAGE_WEIGHT;
+        call.messages.add(message);
+        call.openAttempts++;
+        call.destination.sentInGeneration++;
     }
 
     /**
-     * Guards against calls without answer holding the slots that others need: the design leaves a sick
-     * destination half of them. Harms once-only envelopes that would be answered.
+     * Cancels calls that hardly get an answer any more while other destinations need their slots; by its
+     * window, an unhealthy destination may hold half of all. A cancelled at-most-once message that would have
+     * been answered fails.
      */
-    private void callOff(boolean maySend) {
-        int wanted = max(1, slots / 4) - (slots - slotsOut);
-        if (wanted <= 0 || !mayCancel || !maySend) {
+    private void cancelHopelessCalls(boolean maySend) {
+        int neededSlots = max(1, maxConcurrentCalls / 4) - (maxConcurrentCalls - callsInFlight);
+        if (neededSlots <= 0 || !cancelAllowed || !maySend) {
             return;
         }
-        boolean othersWait = ready.stream().anyMatch(d -> !isSick(d) && room(d) > 0);
-        for (Call call : othersWait ? callsOut : List.<Call>of()) {
-            double hopeless = max(HOPELESS, 4 * call.endpoint.lat);
-            if (now - call.sentAt > (call.endpoint.sickSince >= 0 ? 1 : 2) * hopeless && wanted-- > 0) {
-                call.carried.stream().filter(e -> e.call == call && !call.calledOff)
-                    .forEach(e -> out.cancelAttempt(e.id, e.shots - 1));
-                call.calledOff = true;
+        boolean othersWait = readyDestinations.stream()
+            .anyMatch(destination -> !isUnhealthy(destination) && freeWindow(destination) > 0);
+        for (Call call : othersWait ? activeCalls : List.<Call>of()) {
+            double hopelessMicros = max(HOPELESS_CALL_MICROS, 4 * call.endpoint.latencyMicros);
+            if (nowMicros - call.startedAtMicros > (call.endpoint.unhealthySinceMicros >= 0 ? 1 : 2)
+                * hopelessMicros && neededSlots-- > 0) {
+                call.messages.stream().filter(message -> message.call == call && !call.cancelled)
+                    .forEach(message -> actions.cancelAttempt(message.index, message.attempts - 1));
+                call.cancelled = true;
             }
         }
-        if (othersWait && callOffAt <= now) {
-            callOffAt = now + HOPELESS / 8;
-            later(callOffAt, () -> {});
+        if (othersWait && cancelCheckAtMicros <= nowMicros) {
+            cancelCheckAtMicros = nowMicros + HOPELESS_CALL_MICROS / 8;
+            schedule(cancelCheckAtMicros, () -> {});
         }
     }
 
-    private void afterShot(Envelope e, Call call, int outcome) {
-        boolean neverRan = outcome == PolicyActions.OVERLOADED || outcome == PolicyActions.UNREACHABLE
+    /** Queues a message again after an attempt that did not deliver it, or finishes it. */
+    private void retryOrFinish(Message message, Call call, int outcome) {
+        boolean notExecuted = outcome == PolicyActions.OVERLOADED || outcome == PolicyActions.UNREACHABLE
             || outcome == PolicyActions.NOT_EXECUTED;
-        doubt(e, neverRan ? -1 : call.sentAt, call.endpoint.zone);
-        if (mayShoot(e)) {
-            hold(e, true);
+        markUncertain(message, notExecuted ? -1 : call.startedAtMicros, call.endpoint.zone);
+        if (mayAttempt(message)) {
+            enqueue(message, true);
         } else {
-            finish(e, 0);
+            finish(message, 0);
         }
     }
 
-    private void doubt(Envelope e, long since, int zone) {
-        PolicySettings.MessageClass o = offerings[e.offering];
-        if (since >= 0 && e.doubtSince < 0) {
-            e.doubtSince = since;
-            e.doubtZone = zone;
-            if (o.semantics() == PolicySettings.DeliverySemantics.DEDUPLICATED
-                && e.doubtSince + o.deduplicationMicros() - GIVE_UP_AHEAD < e.giveUpAt) {
-                e.giveUpAt = e.doubtSince + o.deduplicationMicros() - GIVE_UP_AHEAD;
-                later(e.giveUpAt, () -> giveUp(e));
+    /**
+     * Records the first attempt with unknown outcome; a deduplicated message must end while a repeat is
+     * recognized.
+     */
+    private void markUncertain(Message message, long sinceMicros, int zone) {
+        MessageClass properties = messageClasses[message.messageClass];
+        if (sinceMicros >= 0 && message.uncertainSinceMicros < 0) {
+            message.uncertainSinceMicros = sinceMicros;
+            message.uncertainZone = zone;
+            if (properties.semantics() == DeliverySemantics.DEDUPLICATED
+                && message.uncertainSinceMicros + properties.deduplicationMicros()
+                    - FINISH_BEFORE_EXPIRY_MICROS < message.sendByMicros) {
+                message.sendByMicros = message.uncertainSinceMicros + properties.deduplicationMicros()
+                    - FINISH_BEFORE_EXPIRY_MICROS;
+                schedule(message.sendByMicros, () -> finishIfDue(message));
             }
         }
     }
 
-    private boolean mayShoot(Envelope e) {
-        return mayRepeat(e) && e.shots < shotLimit && now < e.giveUpAt;
+    private boolean mayAttempt(Message message) {
+        return mayRepeat(message) && message.attempts < maxAttempts && nowMicros < message.sendByMicros;
     }
 
-    // ---- Answers
+    // ---- Outcomes
 
-    public void attemptEnded(int id, boolean over, int shot, int endpoint, int outcome, long wait,
-        long elapsed,
-        double left, double limit) {
-        Envelope e = envelopes[id];
-        Call call = e == null ? null : e.call;
+    /**
+     * Reports the end of an attempt.
+     *
+     * @param index the message
+     * @param finished whether nothing more is owed for the message: it was delivered, or ended otherwise
+     *     meanwhile
+     * @param attempt the number of the attempt; not used, as a message has one attempt in flight at most
+     * @param endpointIndex the endpoint; not used, for the same reason
+     * @param outcome one of the outcomes of {@link PolicyActions}
+     * @param retryAfterMicros the pause that the endpoint asked for, or 0
+     * @param elapsedMicros the time since the attempt was started
+     * @param remainingShare the unused share of the limit by the endpoint's load report, or NaN
+     * @param reportedLimit the limit by the load report, in calls per second from all relays: 0 for no limit,
+     *     NaN if not reported
+     */
+    public void attemptEnded(int index, boolean finished, int attempt, int endpointIndex, int outcome,
+        long retryAfterMicros, long elapsedMicros, double remainingShare, double reportedLimit) {
+        Message message = messages[index];
+        Call call = message == null ? null : message.call;
         if (call == null) {
             return;
         }
-        e.call = null;
-        Destination d = call.to;
-        Endpoint target = call.endpoint;
-        Route r = target.route;
-        if (--call.left == 0) {
-            slotsOut--;
-            d.inFlight--;
-            target.calls--;
-            callsOut.remove(call);
-        }
-        if (target.calls == 0 && outcome != PolicyActions.UNREACHABLE && outcome != PolicyActions.NOT_EXECUTED
-            && (now - kindCrowdedAt[target.kind] < CROWDED_FOR
-                || target.gap > idleFor && d.held == 0 && e.line == null)) {
-            // Guards against idle connections of many relays filling a table, also before any connect failed:
-            // one that would hardly be used again before it closes by itself only keeps others out. Tables of
-            // one kind are alike, and a relay with an idle one never meets the failure that it causes.
-            out.closeIdleConnections(target.id);
-        }
-        r.told = limit > 0 && r.told > 0 ? r.told + 0.2 * (limit - r.told) : limit >= 0 ? limit : r.told;
-        r.left = left >= 0 ? left : r.left;
+        message.call = null;
+        Destination destination = call.destination;
+        Endpoint endpoint = call.endpoint;
+        RateLimiter limiter = endpoint.limiter;
+        if (--call.openAttempts == 0) {
+            callsInFlight--;
+            destination.callsInFlight--;
+            endpoint.callsInFlight--;
+            activeCalls.remove(call);
+        }
+        if (endpoint.callsInFlight == 0 && outcome != PolicyActions.UNREACHABLE
+            && outcome != PolicyActions.NOT_EXECUTED
+            && (nowMicros - kindCrowdedAtMicros[endpoint.kind] < CROWDED_KIND_MICROS
+                || endpoint.callIntervalMicros > idleConnectionTimeoutMicros
+                    && destination.queuedMessages == 0
+                    && message.keyQueue == null)) {
+            // Idle connections of many relays could fill the endpoint's connection table. One that would
+            // hardly be used again before its idle timeout only takes the place of others, so it is closed
+            // even before any connect failed. Endpoints of one kind have alike tables, and a relay with an
+            // idle connection doesn't see the failures that it causes.
+            actions.closeIdleConnections(endpoint.index);
+        }
+        limiter.reportedLimit = reportedLimit > 0 && limiter.reportedLimit > 0
+            ? limiter.reportedLimit + 0.2 * (reportedLimit - limiter.reportedLimit)
+            : reportedLimit >= 0 ? reportedLimit : limiter.reportedLimit;
+        limiter.remainingShare = remainingShare >= 0 ? remainingShare : limiter.remainingShare;
         if (outcome == PolicyActions.OVERLOADED) {
-            if (!call.learnt) {
-                refused(r, call, wait);
+            if (!call.outcomeObserved) {
+                recordOverload(limiter, call, retryAfterMicros);
             }
-            if (call.generation == d.generation) {
-                move(d, max(1, min(d.window, cap) * CUT));
+            if (call.windowGeneration == destination.windowGeneration) {
+                setWindow(destination, max(1, min(destination.window, maxWindow) * WINDOW_CUT));
             }
         }
-        r.waitUntil = wait > 0 ? max(r.waitUntil, now + wait) : r.waitUntil;
-        if (!call.learnt) {
-            call.learnt = true;
-            learn(call, outcome, elapsed);
-            listen(target);
+        limiter.waitUntilMicros = retryAfterMicros > 0
+            ? max(limiter.waitUntilMicros, nowMicros + retryAfterMicros)
+            : limiter.waitUntilMicros;
+        if (!call.outcomeObserved) {
+            call.outcomeObserved = true;
+            observeOutcome(call, outcome, elapsedMicros);
+            checkSilence(endpoint);
         }
-        rouse(d);
-        boolean mayRun = outcome == PolicyActions.TIMEOUT
+        markReady(destination);
+        boolean mayStillRun = outcome == PolicyActions.TIMEOUT
             || outcome >= PolicyActions.CONNECTION_LOST && outcome != PolicyActions.NOT_EXECUTED;
-        if (e.line != null && mayRun) {
-            e.line.restUntil = max(e.line.restUntil, now + settle);
+        if (message.keyQueue != null && mayStillRun) {
+            message.keyQueue.pausedUntilMicros = max(message.keyQueue.pausedUntilMicros,
+                nowMicros + settleAfterUncertainMicros);
         }
-        if (over || e.ended) {
-            close(e);
-            advance(e);
+        if (finished || message.finished) {
+            close(message);
+            advanceKey(message);
         } else {
-            afterShot(e, call, outcome);
+            retryOrFinish(message, call, outcome);
         }
     }
 
-    // ---- List
+    // ---- Endpoint list
+
+    /** Time after which a list that was requested and has not started is requested again. */
+    private static final long LIST_REQUEST_INTERVAL_MICROS = 3 * SECOND;
 
-    private long askAt = NEVER, askBackoff;
+    private long listRequestAtMicros = NEVER;
+    private long listRetryDelayMicros;
 
-    private void askBy(long at) {
-        askAt = at;
-        later(at, () -> {
-            if (askAt == at) {
-                out.requestEndpointList(true);
-                askBy(now + 3 * SECOND);
+    /** Requests the list at the given time and again after an interval, until a list starts. */
+    private void requestListAt(long atMicros) {
+        listRequestAtMicros = atMicros;
+        schedule(atMicros, () -> {
+            if (listRequestAtMicros == atMicros) {
+                actions.requestEndpointList(true);
+                requestListAt(nowMicros + LIST_REQUEST_INTERVAL_MICROS);
             }
         });
     }
 
-    public void endpointListStarted(boolean whole, boolean cached) {
-        listWhole = whole;
-        askAt = cached ? askAt : NEVER;
-        askBackoff = cached ? askBackoff : 0;
-        wholeLists += whole ? 1 : 0;
-    }
-
-    public void endpointListed(int id, int zone, int kind, int destination, int phase, double rate,
-        long since) {
-        Destination d = destinations.computeIfAbsent(destination, i -> new Destination());
-        endpoints = id < endpoints.length ? endpoints : Arrays.copyOf(endpoints, 2 * id + 32);
-        if (endpoints[id] == null) {
-            meet(endpoints[id] = new Endpoint(id, d, kind), kind);
-        }
-        Endpoint target = endpoints[id];
-        target.namedIn = wholeLists;
-        target.zone = zone;
-        target.kind = min(kind, kindCrowdedAt.length - 1);
-        target.route.listed = ratesListed ? rate : target.route.listed;
-        turnPhase(target, phase);
-        rouse(d);
-    }
-
-    private void meet(Endpoint target, int kind) {
-        Destination d = target.owner;
-        d.endpoints = Arrays.copyOf(d.endpoints, d.endpoints.length + 1);
-        d.endpoints[d.endpoints.length - 1] = target;
-        d.bundle = kind < bundles.length ? max(1, bundles[kind]) : 1;
-        target.route.tokensAt = now;
-        int health = Arrays.stream(d.endpoints)
-            .mapToInt(i -> i.sickSince >= 0 ? 1 : i.phase == UP ? 2 : 0).reduce(0, (a, b) -> a | b);
-        if (health == 1 && target.route == d.shared) {
-            // Guards against what all relays hold storming an endpoint listed while its fellows are down.
-            sicken(target, false);
-            target.trialAt = now + (long) (trialGap(target) * chance());
-        }
+    /**
+     * Starts a list of endpoints or of changes; calls of {@link #endpointListed} and {@link
+     * #endpointListEnded} follow.
+     *
+     * @param complete whether endpoints that the list doesn't name are gone
+     * @param cached whether the list is from a cache, so that a requested one is still awaited
+     */
+    public void endpointListStarted(boolean complete, boolean cached) {
+        listIsComplete = complete;
+        listRequestAtMicros = cached ? listRequestAtMicros : NEVER;
+        listRetryDelayMicros = cached ? listRetryDelayMicros : 0;
+        completeListCount += complete ? 1 : 0;
     }
 
-    private void turnPhase(Endpoint target, int phase) {
-        target.route.members += (phase == UP ? 1 : 0) - (target.phase == UP ? 1 : 0);
-        target.phase = phase;
-        if (phase == GONE) {
-            later(now + IDLE, () -> forget(target.id));
+    /**
+     * Reports one endpoint of the list.
+     *
+     * @param index the endpoint
+     * @param zone the zone it is in
+     * @param kind its kind, an index into {@link PolicySettings#limitPerEndpoint} and
+     *     {@link PolicySettings#maxBatchSize}
+     * @param destination the destination it belongs to; never changes for an index that is in use
+     * @param phase 0 for up, 1 for draining, 2 for gone
+     * @param callsPerSecond the rate that its limit allows from all relays; ignored unless
+     *     {@link PolicySettings#listReportsRate}
+     * @param sinceMicros the time stamp of the entry; not used by this policy
+     */
+    public void endpointListed(int index, int zone, int kind, int destination, int phase,
+        double callsPerSecond,
+        long sinceMicros) {
+        Destination owner = destinations.computeIfAbsent(destination, i -> new Destination());
+        endpoints = index < endpoints.length ? endpoints : Arrays.copyOf(endpoints, 2 * index + 32);
+        if (endpoints[index] == null) {
+            addEndpoint(endpoints[index] = new Endpoint(index, owner, kind), kind);
+        }
+        Endpoint endpoint = endpoints[index];
+        endpoint.listedInVersion = completeListCount;
+        endpoint.zone = zone;
+        endpoint.kind = min(kind, kindCrowdedAtMicros.length - 1);
+        endpoint.limiter.listedRate = listReportsRate ? callsPerSecond : endpoint.limiter.listedRate;
+        setPhase(endpoint, phase);
+        markReady(owner);
+    }
+
+    private void addEndpoint(Endpoint endpoint, int kind) {
+        Destination destination = endpoint.destination;
+        destination.endpoints = Arrays.copyOf(destination.endpoints, destination.endpoints.length + 1);
+        destination.endpoints[destination.endpoints.length - 1] = endpoint;
+        destination.maxBatchSize = kind < maxBatchSizes.length ? max(1, maxBatchSizes[kind]) : 1;
+        endpoint.limiter.tokensAtMicros = nowMicros;
+        // Bit 0: some endpoint is unhealthy; bit 1: some endpoint is up and healthy.
+        int health = Arrays.stream(destination.endpoints)
+            .mapToInt(other -> other.unhealthySinceMicros >= 0 ? 1 : other.phase == PHASE_UP ? 2 : 0)
+            .reduce(0, (a, b) -> a | b);
+        if (health == 1 && endpoint.limiter == destination.sharedLimiter) {
+            // Endpoint listed while all others of the destination are down: without this, all relays would
+            // send it what they hold at once.
+            markUnhealthy(endpoint, false);
+            endpoint.nextProbeAtMicros = nowMicros + (long) (probeIntervalMicros(endpoint) * random());
+        }
+    }
+
+    private void setPhase(Endpoint endpoint, int phase) {
+        endpoint.limiter.endpointsUp += (phase == PHASE_UP ? 1 : 0) - (endpoint.phase == PHASE_UP ? 1 : 0);
+        endpoint.phase = phase;
+        if (phase == PHASE_GONE) {
+            schedule(nowMicros + RETENTION_MICROS, () -> releaseIfGone(endpoint.index));
         }
     }
 
     /**
-     * Guards against memory growing while endpoints are replaced by others: as with a window, what is known
-     * of one that stays away goes, and its index may be another's. A destination keeps its last.
+     * Releases an endpoint that is still gone, so that replaced endpoints don't fill the memory; the caller
+     * may use its index for another one. The last endpoint of a destination stays.
      */
-    private void forget(int id) {
-        Endpoint target = endpoints[id];
-        if (target == null || target.phase != GONE) {
+    private void releaseIfGone(int index) {
+        Endpoint endpoint = endpoints[index];
+        if (endpoint == null || endpoint.phase != PHASE_GONE) {
             return;
         }
-        Destination d = target.owner;
-        if (target.calls > 0 || d.endpoints.length == 1) {
-            later(now + IDLE, () -> forget(id));
+        Destination destination = endpoint.destination;
+        if (endpoint.callsInFlight > 0 || destination.endpoints.length == 1) {
+            schedule(nowMicros + RETENTION_MICROS, () -> releaseIfGone(index));
         } else {
-            d.endpoints = Arrays.stream(d.endpoints).filter(i -> i != target).toArray(Endpoint[]::new);
-            endpoints[id] = null;
-            out.releaseEndpoint(id);
+            destination.endpoints = Arrays.stream(destination.endpoints).filter(other -> other != endpoint)
+                .toArray(Endpoint[]::new);
+            endpoints[index] = null;
+            actions.releaseEndpoint(index);
         }
     }
 
+    /** Ends a list; if it was complete, endpoints that it didn't name are gone. */
     public void endpointListEnded() {
-        for (Endpoint target : endpoints) {
-            if (listWhole && target != null && target.namedIn != wholeLists) {
-                turnPhase(target, GONE);
+        for (Endpoint endpoint : endpoints) {
+            if (listIsComplete && endpoint != null && endpoint.listedInVersion != completeListCount) {
+                setPhase(endpoint, PHASE_GONE);
             }
         }
     }
 
+    /** Reports that the list could not be had; it is requested again after a growing, random delay. */
     public void endpointListFailed() {
-        // The notice doesn't say whether the watch still stands, so it is asked for again, ever more slowly.
-        askBackoff = askBackoff == 0 ? askAgain : min(4 * askAgain, askBackoff * 2);
-        askBy(min(askAt, now + (long) (askBackoff * (0.5 + chance()))));
+        // The failure doesn't tell whether the subscription still exists, so it is requested again.
+        listRetryDelayMicros = listRetryDelayMicros == 0 ? listRetryMicros
+            : min(4 * listRetryMicros, listRetryDelayMicros * 2);
+        requestListAt(min(listRequestAtMicros, nowMicros + (long) (listRetryDelayMicros * (0.5 + random()))));
     }
 
-    // ---- The turn
+    // ---- Rounds
 
+    /** Reports that the alarm has fired; the present round then runs what is due. */
     public void alarmFired() {
-        alarmAt = now < alarmAt ? alarmAt : NEVER;
+        alarmAtMicros = nowMicros < alarmAtMicros ? alarmAtMicros : NEVER;
     }
 
-    /** Closes a round: what time alone decides, then, where the caller can send, whatever may go out goes. */
+    /**
+     * Completes a round: runs what is due, sends what may be sent and sets the alarm.
+     *
+     * @param maySend whether the caller can send now; otherwise messages stay queued
+     */
     public void completeRound(boolean maySend) {
-        turns++;
-        while (!dues.isEmpty() && dues.peek().at <= now) {
-            dues.poll().act.run();
+        rounds++;
+        while (!timedActions.isEmpty() && timedActions.peek().dueAtMicros <= nowMicros) {
+            timedActions.poll().action.run();
         }
         dispatch(maySend);
-        callOff(maySend);
-        if (!dues.isEmpty() && alarmAt > dues.peek().at) {
-            alarmAt = dues.peek().at;
-            out.setAlarm(alarmAt - now);
+        cancelHopelessCalls(maySend);
+        if (!timedActions.isEmpty() && alarmAtMicros > timedActions.peek().dueAtMicros) {
+            alarmAtMicros = timedActions.peek().dueAtMicros;
+            actions.setAlarm(alarmAtMicros - nowMicros);
         }
     }
 
-    private void rouse(Destination d) {
-        if (d.held > 0 && !d.ready && d.endpoints.length > 0) {
-            d.ready = true;
-            ready.addLast(d);
+    private void markReady(Destination destination) {
+        if (destination.queuedMessages > 0 && !destination.inReadyQueue && destination.endpoints.length > 0) {
+            destination.inReadyQueue = true;
+            readyDestinations.addLast(destination);
         }
     }
 
     private void dispatch(boolean maySend) {
-        while (maySend && !ready.isEmpty() && slotsOut < slots) {
-            Destination d = slots - slotsOut < ready.size() ? dearest() : ready.pollFirst();
-            d.ready = false;
-            if (d.held == 0 || offer(d)) {
-                rouse(d);
+        while (maySend && !readyDestinations.isEmpty() && callsInFlight < maxConcurrentCalls) {
+            Destination destination = maxConcurrentCalls - callsInFlight < readyDestinations.size()
+                ? pollMostValuable() : readyDestinations.pollFirst();
+            destination.inReadyQueue = false;
+            if (destination.queuedMessages == 0 || sendCall(destination)) {
+                markReady(destination);
             } else {
-                sleep(d);
+                scheduleWake(destination);
             }
         }
     }
 
     /**
-     * Guards against slow destinations taking the slots that quick ones would turn over: where slots are
-     * short the next call goes where it earns most in its time, of a few of those ready, in turns.
+     * Removes and returns, of some of the ready destinations in turn, the one where the next call saves the
+     * most revenue per time that it holds its slot. Otherwise slow destinations would take the slots that
+     * fast ones use several times meanwhile.
      */
-    private Destination dearest() {
+    private Destination pollMostValuable() {
         Destination best = null;
-        double most = -1;
-        for (int i = min(CHOICE, ready.size()); i > 0; i--) {
-            Destination d = ready.pollFirst();
-            ready.addLast(d);
-            long typical = typical(d);
-            int line = foremost(d, typical, 0);
-            // A trial may keep its slot until it times out.
-            long takes = isSick(d) ? timeOut(typical) : typical;
-            double gain = line < 0 ? 0 : urgency(head(d, line), typical, horizon(d)) / (takes + 50 * MS);
-            if (gain > most) {
-                most = gain;
-                best = d;
+        double highest = -1;
+        for (int i = min(COMPARED_DESTINATIONS, readyDestinations.size()); i > 0; i--) {
+            Destination destination = readyDestinations.pollFirst();
+            readyDestinations.addLast(destination);
+            long latencyMicros = lowestLatencyMicros(destination);
+            int queue = mostUrgentQueue(destination, latencyMicros, 0);
+            // A probe may hold its slot until it times out.
+            long slotMicros = isUnhealthy(destination) ? defaultTimeoutMicros(latencyMicros) : latencyMicros;
+            double value = queue < 0 ? 0
+                : urgency(head(destination, queue), latencyMicros, expectedDelayMicros(destination))
+                    / (slotMicros + CALL_OVERHEAD_MICROS);
+            if (value > highest) {
+                highest = value;
+                best = destination;
             }
         }
-        ready.removeLastOccurrence(best);
+        readyDestinations.removeLastOccurrence(best);
         return best;
     }
 
-    private void sleep(Destination d) {
-        long wake = NEVER;
-        for (Endpoint target : d.endpoints) {
-            long from = opensAt(target);
-            from = from <= now && target.sickSince >= 0 ? target.trialAt + LONE_TRIAL + 1 : from;
-            wake = from > now ? min(wake, from) : wake;
-        }
-        if (room(d) > 0 && wake < NEVER && (wake < d.wakeAt || d.wakeAt <= now)) {
-            long due = d.wakeAt = wake;
-            later(wake, () -> {
-                if (d.wakeAt == due) {
-                    rouse(d);
+    /** Schedules the time at which one of the destination's endpoints may have a call again. */
+    private void scheduleWake(Destination destination) {
+        long wakeAtMicros = NEVER;
+        for (Endpoint endpoint : destination.endpoints) {
+            long fromMicros = availableAtMicros(endpoint);
+            fromMicros = fromMicros <= nowMicros && endpoint.unhealthySinceMicros >= 0
+                ? endpoint.nextProbeAtMicros + AT_MOST_ONCE_PROBE_DELAY_MICROS + 1 : fromMicros;
+            wakeAtMicros = fromMicros > nowMicros ? min(wakeAtMicros, fromMicros) : wakeAtMicros;
+        }
+        if (freeWindow(destination) > 0 && wakeAtMicros < NEVER
+            && (wakeAtMicros < destination.wakeAtMicros || destination.wakeAtMicros <= nowMicros)) {
+            long dueAtMicros = destination.wakeAtMicros = wakeAtMicros;
+            schedule(wakeAtMicros, () -> {
+                if (destination.wakeAtMicros == dueAtMicros) {
+                    markReady(destination);
                 }
             });
         }
     }
 
-    private long typical(Destination d) {
-        return (long) Arrays.stream(d.endpoints).mapToDouble(i -> i.lat).reduce(USUAL_LAT, Math::min);
+    private long lowestLatencyMicros(Destination destination) {
+        return (long) Arrays.stream(destination.endpoints).mapToDouble(endpoint -> endpoint.latencyMicros)
+            .reduce(DEFAULT_LATENCY_MICROS, Math::min);
     }
 
-    private long horizon(Destination d) {
-        double rate = rateOf(d.endpoints[0].route);
-        return (long) max(250 * MS, min(8 * SECOND, d.held / (rate > 0 ? rate / relays : 2) * SECOND));
+    /** Bounds of the delay that messages are compared by, and the calls per second where no rate is known. */
+    private static final long MIN_EXPECTED_DELAY_MICROS = 250 * MILLISECOND;
+    private static final long MAX_EXPECTED_DELAY_MICROS = 8 * SECOND;
+    private static final double ASSUMED_RATE = 2;
+
+    /** Returns about how long this relay takes to send all queued messages of the destination. */
+    private long expectedDelayMicros(Destination destination) {
+        double rate = knownRate(destination.endpoints[0].limiter);
+        return (long) max(MIN_EXPECTED_DELAY_MICROS, min(MAX_EXPECTED_DELAY_MICROS,
+            destination.queuedMessages / (rate > 0 ? rate / relayCount : ASSUMED_RATE) * SECOND));
     }
 
-    private boolean offer(Destination d) {
-        long typical = typical(d);
-        Arrays.stream(d.endpoints).forEach(this::refill);
-        fill(d);
-        if (room(d) <= 0) {
+    /**
+     * Sends one call to the destination if its window, an endpoint and a message allow it, and returns
+     * whether.
+     */
+    private boolean sendCall(Destination destination) {
+        long latencyMicros = lowestLatencyMicros(destination);
+        Arrays.stream(destination.endpoints).forEach(this::refillTokens);
+        recordFullWindow(destination);
+        if (freeWindow(destination) <= 0) {
             return false;
         }
-        sortLate(d, typical);
-        Endpoint target = null;
+        moveLateMessages(destination, latencyMicros);
+        Endpoint endpoint = null;
         Call call = null;
-        for (Envelope e = next(d, typical, target); e != null; e = next(d, typical, target)) {
+        for (Message message = nextMessage(destination, latencyMicros,
+            endpoint); message != null; message = nextMessage(destination, latencyMicros, endpoint)) {
             if (call == null) {
-                target = chosen;
-                call = begin(d, target);
+                endpoint = selectedEndpoint;
+                call = beginCall(destination, endpoint);
             }
-            send(e, call);
-            if (call.carried.size() >= d.bundle || target.sickSince >= 0
-                || target.backSince >= 0 && target.budget < FURTHER - DEBT * warm(now - target.backSince)) {
+            send(message, call);
+            if (call.messages.size() >= destination.maxBatchSize || endpoint.unhealthySinceMicros >= 0
+                || endpoint.recoveringSinceMicros >= 0 && endpoint.recoveryTokens < FURTHER_MESSAGE_WEIGHT
+                    - MAX_RECOVERY_DEBT * warmUpShare(nowMicros - endpoint.recoveringSinceMicros)) {
                 break;
             }
         }
         if (call == null) {
-            for (Endpoint i : d.endpoints) {
-                i.route.pressedAt = i.route.tokens < 1 ? now : i.route.pressedAt;
+            for (Endpoint each : destination.endpoints) {
+                each.limiter.throttledAtMicros = each.limiter.tokens < 1 ? nowMicros
+                    : each.limiter.throttledAtMicros;
             }
             return false;
         }
-        target.lastSend = d.bundle > 1 ? turns : -1;
+        endpoint.lastBatchRound = destination.maxBatchSize > 1 ? rounds : -1;
         return true;
     }
 
-    private Call begin(Destination d, Endpoint target) {
+    private Call beginCall(Destination destination, Endpoint endpoint) {
         Call call = new Call();
-        call.endpoint = target;
-        call.to = d;
-        call.sentAt = now;
-        slotsOut++;
-        if (d.inFlight++ == 0 && now - d.lastUsed > IDLE) {
-            move(d, cap);
-        }
-        call.generation = d.generation;
-        d.lastUsed = now;
-        target.calls++;
-        callsOut.add(call);
-        target.lat = target.lastAnswer == 0 ? usual : target.lat;
-        double since = now - target.sentLast;
-        target.gap = target.sentLast == 0
-            ? SECOND * relays * max(1, target.route.members) / max(0.1, sizeOf(target.route))
-            : target.gap + (since < target.gap ? 0.7 : 0.3) * (since - target.gap);
-        target.sentLast = now;
-        target.route.tokens--;
-        target.trialAt = target.sickSince >= 0 ? now + trialGap(target) : 0;
-        d.earned = target.sickSince >= 0 || target.crowdedAt > now ? 0 : d.earned;
-        fill(d);
-        listen(target);
-        if (now < renewUntil) {
-            // Guards against connections that died while idle, unseen here: a call on one is lost.
-            out.closeIdleConnections(target.id);
+        call.endpoint = endpoint;
+        call.destination = destination;
+        call.startedAtMicros = nowMicros;
+        callsInFlight++;
+        if (destination.callsInFlight++ == 0 && nowMicros - destination.lastCallAtMicros > RETENTION_MICROS) {
+            setWindow(destination, maxWindow);
+        }
+        call.windowGeneration = destination.windowGeneration;
+        destination.lastCallAtMicros = nowMicros;
+        endpoint.callsInFlight++;
+        activeCalls.add(call);
+        endpoint.latencyMicros = endpoint.lastAnswerAtMicros == 0 ? usualLatencyMicros
+            : endpoint.latencyMicros;
+        double sinceLastCallMicros = nowMicros - endpoint.lastCallAtMicros;
+        endpoint.callIntervalMicros = endpoint.lastCallAtMicros == 0
+            ? SECOND * relayCount * max(1, endpoint.limiter.endpointsUp)
+                / max(0.1, estimatedRate(endpoint.limiter))
+            : endpoint.callIntervalMicros + (sinceLastCallMicros < endpoint.callIntervalMicros ? 0.7 : 0.3)
+                * (sinceLastCallMicros - endpoint.callIntervalMicros);
+        endpoint.lastCallAtMicros = nowMicros;
+        endpoint.limiter.tokens--;
+        endpoint.nextProbeAtMicros = endpoint.unhealthySinceMicros >= 0
+            ? nowMicros + probeIntervalMicros(endpoint) : 0;
+        destination.earnedCalls = endpoint.unhealthySinceMicros >= 0
+            || endpoint.crowdedUntilMicros > nowMicros ? 0
+                : destination.earnedCalls;
+        recordFullWindow(destination);
+        checkSilence(endpoint);
+        if (nowMicros < renewConnectionsUntilMicros) {
+            // Connections that died while idle, unnoticed by the relay, are frequent now: a call on one is
+            // lost.
+            actions.closeIdleConnections(endpoint.index);
         }
         return call;
     }
 
-    /** The line whose head a delay costs most. */
-    private int foremost(Destination d, long typical, long tried) {
-        long horizon = horizon(d);
-        double most = -1;
-        int line = -1;
-        for (int i = 0; i < d.lines.size(); i++) {
-            Envelope e = (tried >> i & 1) != 0 ? null : head(d, i);
-            double gain = e == null ? -1 : urgency(e, typical, horizon);
-            if (gain > most) {
-                most = gain;
-                line = i;
+    /**
+     * Returns the queue whose next message loses the most by a delay, or -1 if there is none.
+     *
+     * @param tried bit set of the queues to leave out
+     */
+    private int mostUrgentQueue(Destination destination, long latencyMicros, long tried) {
+        long delayMicros = expectedDelayMicros(destination);
+        double highest = -1;
+        int best = -1;
+        for (int i = 0; i < destination.queues.size(); i++) {
+            Message message = (tried >> i & 1) != 0 ? null : head(destination, i);
+            double urgency = message == null ? -1 : urgency(message, latencyMicros, delayMicros);
+            if (urgency > highest) {
+                highest = urgency;
+                best = i;
             }
         }
-        return line;
+        return best;
     }
 
-    /** The held envelope to go next: the one a delay costs most among those that some endpoint may have. */
-    private Envelope next(Destination d, long typical, Endpoint joined) {
+    /**
+     * Returns the message to be sent next: of those that some endpoint may have, the one that loses the most
+     * by a delay; null if there is none. Sets {@link #selectedEndpoint}.
+     *
+     * @param callEndpoint the endpoint of the call that the message is to join, or null for a new call
+     */
+    private Message nextMessage(Destination destination, long latencyMicros, Endpoint callEndpoint) {
         long tried = 0;
         while (true) {
-            int line = foremost(d, typical, tried);
-            Envelope e = line < 0 ? null : head(d, line);
-            chosen = e == null ? null : joined == null ? pick(d, e)
-                : knowsRepeat(joined, e) && (e.shots == 0 || joined.credit >= 1) ? joined : null;
-            if (e == null || chosen != null) {
-                return e;
+            int queue = mostUrgentQueue(destination, latencyMicros, tried);
+            Message message = queue < 0 ? null : head(destination, queue);
+            selectedEndpoint = message == null ? null
+                : callEndpoint == null ? selectEndpoint(destination, message)
+                    : recognizesRepeat(callEndpoint, message)
+                        && (message.attempts == 0 || callEndpoint.retryCredit >= 1) ? callEndpoint : null;
+            if (message == null || selectedEndpoint != null) {
+                return message;
             }
-            tried |= 1L << line;
+            tried |= 1L << queue;
         }
     }
 }
--- a/decisions/src/main/java/yewpath/PolicyActions.java
+++ b/decisions/src/main/java/yewpath/PolicyActions.java
@@ -1,6 +1,8 @@
 package yewpath;
 
-/** What {@link DeliveryPolicy} may ask of the relay around it; every index is one the caller handed in before. */
+/**
+ * What {@link DeliveryPolicy} may ask of the relay around it; every index is one the caller handed in before.
+ */
 public interface PolicyActions {
     /** How a shot ended, as {@link DeliveryPolicy#attemptEnded} is told it. */
     int DELIVERED = 0;
@@ -15,8 +17,9 @@
     int STALE_CONNECTION = 8;
 
     /**
-     * {@code withinMicros} of 0 leaves the shot out until the envelope's expiry. What has not left whole when the clock
-     * says {@code leaveBy} is not sent any more, and told as NOT_EXECUTED: its time, or that in which a repeat is known, is over.
+     * {@code withinMicros} of 0 leaves the shot out until the envelope's expiry. What has not left whole when
+     * the clock says {@code leaveBy} is not sent any more, and told as NOT_EXECUTED: its time, or that in
+     * which a repeat is known, is over.
      */
     void send(int envelope, int endpoint, long withinMicros, long leaveBy);
 
--- a/decisions/src/main/java/yewpath/PolicySettings.java
+++ b/decisions/src/main/java/yewpath/PolicySettings.java
@@ -15,8 +15,8 @@
         }
 
         /**
-         * Returns the semantics that a scenario file calls by {@code word}: {@code repeatable}, {@code tagged} or
-         * {@code once-only}.
+         * Returns the semantics that a scenario file calls by {@code word}: {@code repeatable}, {@code
+         * tagged} or {@code once-only}.
          *
          * @throws IllegalArgumentException if {@code word} is none of these
          */
@@ -32,8 +32,8 @@
     }
 
     /**
-     * {@code deduplicationMicros} and {@code deduplicatedPerZone} say how long, and where, endpoints recognize a repeat of a
-     * deduplicated message.
+     * {@code deduplicationMicros} and {@code deduplicatedPerZone} say how long, and where, endpoints
+     * recognize a repeat of a deduplicated message.
      */
     public record MessageClass(double revenue, double lateRevenueShare, long onTimeMicros,
         long timeToLiveMicros,
@@ -63,7 +63,9 @@
     public boolean[] limitPerEndpoint = {};
     public int[] maxBatchSize = {};
     public double refusalPrice;
-    /** The zone this relay stands in, and what a shot into another costs as a part of an envelope's revenue. */
+    /**
+     * The zone this relay stands in, and what a shot into another costs as a part of an envelope's revenue.
+     */
     public int zone;
     public double crossZonePrice;
     /** By zone: what a route apart there takes for an envelope, as a part of its revenue. */
