--- a/decisions/src/main/java/yewpath/DeliveryPolicy.java
+++ b/decisions/src/main/java/yewpath/DeliveryPolicy.java
@@ -39,10 +39,10 @@
     private static final int PHASE_GONE = 2;
     private static final int NO_CALL_LIMIT = 1 << 20;
     /**
-     * Consecutive refused connects, over all endpoints that share a limit, from which on they count as an
-     * outage.
+     * Consecutive failures, summed over all endpoints that share a limit, from which on a refused connect
+     * counts as part of an outage.
      */
-    private static final int OUTAGE_REFUSED_CONNECTS = 4;
+    private static final int OUTAGE_FAILURE_RUN = 4;
     /** Ready destinations that are compared when call slots are short. */
     private static final int COMPARED_DESTINATIONS = 8;
     /** Checksums are below this. */
@@ -95,10 +95,14 @@
 
     /** One request to an endpoint, which carries one or several messages. */
     private static final class Call {
+        /** The generation of the destination's window when the call began. */
         int windowGeneration;
         int openAttempts;
         Endpoint endpoint;
         long startedAtMicros;
+        /**
+         * Whether the health and rate of the endpoint have been updated, by the first outcome of the call.
+         */
         boolean outcomeObserved;
         boolean cancelled;
         Destination destination;
@@ -123,14 +127,17 @@
      * The send rate of this relay to a destination, or to one endpoint where each endpoint has its own limit.
      */
     private static final class RateLimiter {
-        /** Calls per second, from all relays, in the endpoint list and in the endpoint's load reports. */
+        /** Calls per second from all relays by the endpoint list; NaN if not listed. */
         double listedRate = Double.NaN;
+        /** Calls per second from all relays by load reports: 0 for no limit, NaN if not reported. */
         double reportedLimit = Double.NaN;
         /** Calls per second of this relay; 0 until the first use. */
         double sendRate;
         /** The share of the limit that the endpoint last reported as unused. */
         double remainingShare;
+        /** Calls that may be sent now; may be below 0. */
         double tokens = 1;
+        /** No call before this, as the endpoint asked or after an overload. */
         long waitUntilMicros;
         long tokensAtMicros;
         /** When a message last had to wait for a token. */
@@ -166,9 +173,12 @@
      */
     private record TimedAction(long dueAtMicros, long sequence, Runnable action) {}
 
+    /** A destination with its endpoints, its window and its queues. */
     private final class Destination {
         Endpoint[] endpoints = {};
+        /** Increases with each change of the window. */
         int windowGeneration;
+        /** Messages sent since the window was changed. */
         int sentInGeneration;
         int callsInFlight;
         int queuedMessages;
@@ -178,9 +188,11 @@
         double window = maxWindow;
         /** Calls to an unhealthy or crowded endpoint that arriving messages have earned, from 0 to 1. */
         double earnedCalls;
+        /** Whether the window was used up since windows were last raised. */
         boolean windowFull;
         boolean inReadyQueue;
         long lastCallAtMicros;
+        /** When the destination is looked at again. */
         long wakeAtMicros = NEVER;
         final RateLimiter sharedLimiter = new RateLimiter(this);
         final DecayingCount recentArrivals = new DecayingCount();
@@ -225,11 +237,14 @@
         /** The round in which the last batch was sent; -1 where calls carry one message. */
         long lastBatchRound = -1;
         long lastCallAtMicros;
-        /** -1 while the endpoint is not unhealthy, or not recovering. */
+        /** -1 while the endpoint is not unhealthy. */
         long unhealthySinceMicros = -1;
+        /** -1 while the endpoint is not recovering from an outage. */
         long recoveringSinceMicros = -1;
+        /** When an unhealthy endpoint may have a call again. */
         long nextProbeAtMicros;
         long recoveryTokensAtMicros;
+        /** No call before this after a refused connect; also when the call limit was last raised. */
         long crowdedUntilMicros = -NEVER;
         long silenceCheckAtMicros;
         /** The number of the last complete list that named the endpoint. */
@@ -770,17 +785,20 @@
             || endpoint.recoveringSinceMicros >= 0 && endpoint.callsInFlight >= endpoint.recoveryCallLimit) {
             return NEVER;
         }
-        long from = max(limiter.waitUntilMicros,
+        long fromMicros = max(limiter.waitUntilMicros,
             endpoint.destination.earnedCalls >= 1 ? 0 : endpoint.crowdedUntilMicros);
-        from = limiter.tokens < 1
-            ? max(from, nowMicros + 1 + (long) ((1 - limiter.tokens) / refillRate(limiter) * SECOND)) : from;
+        fromMicros = limiter.tokens < 1
+            ? max(fromMicros, nowMicros + 1 + (long) ((1 - limiter.tokens) / refillRate(limiter) * SECOND))
+            : fromMicros;
         if (endpoint.unhealthySinceMicros >= 0) {
-            from = endpoint.destination.earnedCalls >= 1 ? from : max(from, endpoint.nextProbeAtMicros);
+            fromMicros = endpoint.destination.earnedCalls >= 1 ? fromMicros
+                : max(fromMicros, endpoint.nextProbeAtMicros);
         } else if (endpoint.recoveringSinceMicros >= 0 && endpoint.recoveryTokens < 1) {
             double rate = recoveryRate(endpoint, nowMicros - endpoint.recoveringSinceMicros);
-            from = max(from, nowMicros + 1 + (long) ((1 - endpoint.recoveryTokens) / rate * SECOND));
+            fromMicros = max(fromMicros,
+                nowMicros + 1 + (long) ((1 - endpoint.recoveryTokens) / rate * SECOND));
         }
-        return endpoint.lastBatchRound == rounds ? max(from, nowMicros + MILLISECOND) : from;
+        return endpoint.lastBatchRound == rounds ? max(fromMicros, nowMicros + MILLISECOND) : fromMicros;
     }
 
     private boolean isUsable(Endpoint endpoint, Message message) {
@@ -810,15 +828,16 @@
     /** Factor for the send rate after an overload whose refusal has no price. */
     private static final double SEND_RATE_CUT = 0.85;
     /** The lowest send rate, as a multiple of the even share of a relay. */
-    private static final double MIN_SEND_RATE = 0.5;
-    /** Deliveries without an overload after which each further one raises the send rate by one more step. */
-    private static final double DELIVERIES_PER_RAISE_STEP = 4;
+    private static final double MIN_SEND_RATE_FACTOR = 0.5;
+    /** Deliveries without an overload after which the raise has doubled; it goes on growing. */
+    private static final double DELIVERIES_TO_DOUBLE_RAISE = 4;
     /** The first send rate, as a multiple of the even share of a relay. */
-    private static final double INITIAL_SEND_RATE = 1.2;
+    private static final double INITIAL_SEND_RATE_FACTOR = 1.2;
     /**
      * The largest share of the limit that a relay takes beyond its even share, as others leave some unused.
      */
     private static final double MAX_LENT_SHARE = 0.05;
+    /** Attempts within its time to live that the lent share allows a lone message. */
     private static final double LONE_MESSAGE_ATTEMPTS = 5;
     /**
      * The part of the reported unused share that one relay sends for, and the share that it leaves for
@@ -844,8 +863,8 @@
 
     /**
      * Returns roughly the calls per second, from all relays, that the destination or endpoint accepts. If no
-     * rate is reported or listed, the estimate is the arrivals at this relay times the number of relays; the
-     * mean over all destinations counts as the estimate's first message.
+     * rate is reported or listed, the estimate is the arrivals at this relay times the number of relays. With
+     * few arrivals it is close to the mean over all destinations, which weighs as much as one message.
      */
     private double estimatedRate(RateLimiter limiter) {
         double known = knownRate(limiter);
@@ -870,7 +889,8 @@
     private double initialSendRate(RateLimiter limiter) {
         double lentShare = limiter.reportedLimit > 0 ? 0
             : min(MAX_LENT_SHARE, max(1.0 / relayCount, loneMessageRate / knownRate(limiter)));
-        return knownRate(limiter) * (INITIAL_SEND_RATE / relayCount + lentShare * (1 - 1.0 / relayCount));
+        return knownRate(limiter)
+            * (INITIAL_SEND_RATE_FACTOR / relayCount + lentShare * (1 - 1.0 / relayCount));
     }
 
     /**
@@ -912,12 +932,12 @@
         limiter.recentOverloads.add(nowMicros, 1);
         if (call.windowGeneration == call.destination.windowGeneration) {
             double evenShare = knownRate(limiter) / relayCount;
-            double initial = INITIAL_SEND_RATE * evenShare;
+            double initial = INITIAL_SEND_RATE_FACTOR * evenShare;
             // A lone message can't exceed a limit; after a deeper cut a second overload would delay it too
             // long.
             double cut = limiter.destination.recentArrivals.add(nowMicros, 0) < 2 ? SEND_RATE_CUT
                 : overloadRateCut;
-            limiter.sendRate = max(MIN_SEND_RATE * evenShare, cut * (limiter.sendRate > initial
+            limiter.sendRate = max(MIN_SEND_RATE_FACTOR * evenShare, cut * (limiter.sendRate > initial
                 ? (limiter.sendRate + initial) / 2 : limiter.sendRate));
         }
         // Many relays that are refused at one moment, as by a full queue, would all get their next token at
@@ -931,7 +951,12 @@
             + (long) (retryAfterMicros > 0 ? pauseMicros * random() : pauseMicros));
     }
 
-    /** Returns a random pause after the given number of overloads or refused connects in a run. */
+    /**
+     * Returns a random pause after the given number of overloads or refused connects in a run. It is at least
+     * 120 ms at first, longer with many relays or a low rate, and multiplies with each further one by two to
+     * four, more with many relays. It is limited to the larger of 2 s and one and a half times the time in
+     * which the even share of this relay is one call.
+     */
     private double overloadPauseMicros(double callsPerSecond, int run) {
         // Where refused calls use up the limit and many relays retry at one moment, refusals would cause
         // further refusals. So the pause grows with the run, beyond the time in which the even share of this
@@ -995,7 +1020,7 @@
         long pauseMicros = (long) overloadPauseMicros(
             estimatedRate(endpoint.limiter) / max(1, endpoint.limiter.endpointsUp), run + 1);
         if (connectRefused && endpoint.unhealthySinceMicros < 0 && endpoint.recoveringSinceMicros < 0
-            && run < OUTAGE_REFUSED_CONNECTS) {
+            && run < OUTAGE_FAILURE_RUN) {
             // An endpoint with a full connection table refuses connects at once, which must not count as an
             // outage. That takes a run of failures over all endpoints that share the limit.
             endpoint.callLimit = max(1, min(endpoint.callLimit, endpoint.callsInFlight));
@@ -1028,14 +1053,15 @@
         }
     }
 
+    /** Updates what is known of the endpoint, and of all connections, by a delivery. */
     private void observeDelivery(Call call, long elapsedMicros) {
         Endpoint endpoint = call.endpoint;
         RateLimiter limiter = endpoint.limiter;
         limiter.overloadRun /= 2;
         // Deliveries raise the send rate, not time: where many relays send little each, a raise at each
         // interval would exceed the cuts.
-        double raise = SEND_RATE_RAISE * (1 + limiter.deliveriesSinceOverload++ / DELIVERIES_PER_RAISE_STEP)
-            * max(INITIAL_SEND_RATE * knownRate(limiter) / relayCount, limiter.sendRate);
+        double raise = SEND_RATE_RAISE * (1 + limiter.deliveriesSinceOverload++ / DELIVERIES_TO_DOUBLE_RAISE)
+            * max(INITIAL_SEND_RATE_FACTOR * knownRate(limiter) / relayCount, limiter.sendRate);
         raise = nowMicros - limiter.throttledAtMicros < RAISE_INTERVAL_MICROS ? raise : 0;
         limiter.sendRate = min(max(limiter.sendRate, knownRate(limiter)), limiter.sendRate + raise);
         if (endpoint.callLimit < NO_CALL_LIMIT && nowMicros - endpoint.crowdedUntilMicros > SECOND) {
@@ -1061,7 +1087,7 @@
         // shows that there was no outage. No recovery at a reduced rate is needed then.
         boolean falseAlarm = call.startedAtMicros <= endpoint.unhealthySinceMicros && elapsedMicros < SECOND;
         if (endpoint.unhealthySinceMicros >= 0 && !falseAlarm
-            && (endpoint.failureShare >= RAMP_FAILURE_SHARE || endpoint.mayHaveExecuted)) {
+            && (endpoint.failureShare >= RECOVERY_FAILURE_SHARE || endpoint.mayHaveExecuted)) {
             // Endpoints of a destination mostly fail together, so they return together: all that share the
             // limit recover at a reduced rate and count as unhealthy again after fewer failures.
             Arrays.stream(call.destination.endpoints).filter(other -> other == endpoint
@@ -1078,12 +1104,12 @@
      */
     private static final double UNHEALTHY_FAILURE_SHARE = 0.5;
     /**
-     * The lower threshold of an endpoint that recovers, and of endpoints that reduce their destination's
-     * window.
+     * The failure share above which a recovering endpoint is unhealthy again, and above which the destination
+     * of an endpoint counts as unhealthy.
      */
     private static final double SUSPECT_FAILURE_SHARE = 0.3;
-    /** The failure share from which on an endpoint that is healthy again recovers at a reduced rate. */
-    private static final double RAMP_FAILURE_SHARE = 0.15;
+    /** The failure share from which on an endpoint recovers at a reduced rate when its outage ends. */
+    private static final double RECOVERY_FAILURE_SHARE = 0.15;
     /** Weight of a failure in the failure share, and factor for the share at a delivery. */
     private static final double FAILURE_SMOOTHING = 0.2;
     private static final double FAILURE_DECAY = 0.8;
@@ -1106,6 +1132,7 @@
     private static final long MIN_SILENCE_MICROS = 700 * MILLISECOND;
     private static final double SILENCE_LATENCIES = 2.5;
     private static final double SILENCE_LATENCIES_OF_ONE_CALL = 4;
+    /** The most retries that an endpoint's answers can earn ahead. */
     private static final double MAX_RETRY_CREDIT = 8;
     private static final double RETRY_CREDIT_PER_DELIVERY = 0.5;
     /** The share of lost answers or stale connections from which on they count as frequent. */
@@ -1119,8 +1146,9 @@
      * A longer requested pause means that the endpoint is shut, not that a limit was exceeded for a moment.
      */
     private static final long LONG_RETRY_AFTER_MICROS = 2500 * MILLISECOND;
+    /** How long a due probe waits for another message before an at-most-once message is sent as the probe. */
     private static final long AT_MOST_ONCE_PROBE_DELAY_MICROS = 3 * SECOND;
-    /** A call without an answer for longer, and for several times the latency, hardly gets one. */
+    /** A call without an answer for longer, and for several times the latency, is unlikely to get one. */
     private static final long HOPELESS_CALL_MICROS = 1500 * MILLISECOND;
     /** Moving averages over all endpoints. */
     private double lostAnswerShare;
@@ -1141,6 +1169,7 @@
     private void beginRecovery(Endpoint endpoint) {
         endpoint.recoveringSinceMicros = endpoint.recoveryTokensAtMicros = nowMicros;
         endpoint.recoveryCallLimit = 1;
+        // At most a third of the calls that the recovery rate allows within the collapse window.
         endpoint.recoveryTokens = min(1, recoveryRate(endpoint, 0) * collapseWindowMicros / SECOND / 3);
         endpoint.failureShare = endpoint.consecutiveFailures = 0;
         markHealthy(endpoint);
@@ -1190,12 +1219,13 @@
     }
 
     private long probeIntervalMicros(Endpoint endpoint) {
-        double interval = SECOND / max(MIN_PROBE_RATE, recoveryRate(endpoint, 0));
+        double intervalMicros = SECOND / max(MIN_PROBE_RATE, recoveryRate(endpoint, 0));
         // The probes of all relays add up: at most one every 2.5 s from each of many relays would overload a
         // destination that returns, so the longest interval grows with the number of relays.
-        double maxInterval = MAX_PROBE_INTERVAL_MICROS
+        double maxIntervalMicros = MAX_PROBE_INTERVAL_MICROS
             * max(1, relayCount * endpoint.limiter.endpointsUp / RELAYS_AT_MAX_PROBE_INTERVAL);
-        return (long) (max(MIN_PROBE_INTERVAL_MICROS, min(maxInterval, interval)) * (0.9 + 0.2 * random()));
+        return (long) (max(MIN_PROBE_INTERVAL_MICROS, min(maxIntervalMicros, intervalMicros))
+            * (0.9 + 0.2 * random()));
     }
 
     /**
@@ -1268,9 +1298,9 @@
     }
 
     /**
-     * Cancels calls that hardly get an answer any more while other destinations need their slots; by its
-     * window, an unhealthy destination may hold half of all. A cancelled at-most-once message that would have
-     * been answered fails.
+     * Cancels calls that are unlikely to get an answer while other destinations need their slots: the window
+     * of an unhealthy destination lets it hold half of all slots. A cancelled at-most-once message that would
+     * have been answered fails.
      */
     private void cancelHopelessCalls(boolean maySend) {
         int neededSlots = max(1, maxConcurrentCalls / 4) - (maxConcurrentCalls - callsInFlight);
@@ -1290,6 +1320,7 @@
         }
         if (othersWait && cancelCheckAtMicros <= nowMicros) {
             cancelCheckAtMicros = nowMicros + HOPELESS_CALL_MICROS / 8;
+            // No action of its own: it makes sure that a round takes place then.
             schedule(cancelCheckAtMicros, () -> {});
         }
     }
@@ -1331,6 +1362,9 @@
 
     // ---- Outcomes
 
+    /** Weight of the latest reported limit in its moving average. */
+    private static final double REPORTED_LIMIT_SMOOTHING = 0.2;
+
     /**
      * Reports the end of an attempt.
      *
@@ -1371,12 +1405,12 @@
                     && message.keyQueue == null)) {
             // Idle connections of many relays could fill the endpoint's connection table. One that would
             // hardly be used again before its idle timeout only takes the place of others, so it is closed
-            // even before any connect failed. Endpoints of one kind have alike tables, and a relay with an
-            // idle connection doesn't see the failures that it causes.
+            // even before any connect failed. Endpoints of one kind have similar tables, and a relay with
+            // an idle connection doesn't see the failures that it causes.
             actions.closeIdleConnections(endpoint.index);
         }
         limiter.reportedLimit = reportedLimit > 0 && limiter.reportedLimit > 0
-            ? limiter.reportedLimit + 0.2 * (reportedLimit - limiter.reportedLimit)
+            ? limiter.reportedLimit + REPORTED_LIMIT_SMOOTHING * (reportedLimit - limiter.reportedLimit)
             : reportedLimit >= 0 ? reportedLimit : limiter.reportedLimit;
         limiter.remainingShare = remainingShare >= 0 ? remainingShare : limiter.remainingShare;
         if (outcome == PolicyActions.OVERLOADED) {
@@ -1430,8 +1464,8 @@
     }
 
     /**
-     * Starts a list of endpoints or of changes; calls of {@link #endpointListed} and {@link
-     * #endpointListEnded} follow.
+     * Starts a list of endpoints or of changes; calls of {@link #endpointListed} and
+     * {@link #endpointListEnded} follow.
      *
      * @param complete whether endpoints that the list doesn't name are gone
      * @param cached whether the list is from a cache, so that a requested one is still awaited
@@ -1457,8 +1491,7 @@
      * @param sinceMicros the time stamp of the entry; not used by this policy
      */
     public void endpointListed(int index, int zone, int kind, int destination, int phase,
-        double callsPerSecond,
-        long sinceMicros) {
+        double callsPerSecond, long sinceMicros) {
         Destination owner = destinations.computeIfAbsent(destination, i -> new Destination());
         endpoints = index < endpoints.length ? endpoints : Arrays.copyOf(endpoints, 2 * index + 32);
         if (endpoints[index] == null) {
--- a/decisions/src/main/java/yewpath/PolicyActions.java
+++ b/decisions/src/main/java/yewpath/PolicyActions.java
@@ -1,46 +1,82 @@
 package yewpath;
 
 /**
- * What {@link DeliveryPolicy} may ask of the relay around it; every index is one the caller handed in before.
+ * The actions that {@link DeliveryPolicy} asks of the relay around it, and the outcomes of attempts that the
+ * relay reports. All indices are those that the relay has given to messages and endpoints.
  */
 public interface PolicyActions {
-    /** How a shot ended, as {@link DeliveryPolicy#attemptEnded} is told it. */
+    /**
+     * Outcome of an attempt, see {@link DeliveryPolicy#attemptEnded}: the endpoint has confirmed the
+     * delivery.
+     */
     int DELIVERED = 0;
+    /** The endpoint answered with an error; the message may have taken effect. */
     int ERROR = 1;
+    /** The endpoint refused the call since it is at its limit or busy; the message was not executed. */
     int OVERLOADED = 2;
+    /** No answer came in time; the message may have taken effect. */
     int TIMEOUT = 3;
+    /** No connection to the endpoint could be opened; the message was not executed. */
     int UNREACHABLE = 4;
+    /** The connection ended before the answer was complete; the message may have taken effect. */
     int CONNECTION_LOST = 5;
+    /** The attempt was cancelled; the message may have taken effect. */
     int CANCELLED = 6;
+    /** The message was not sent, or not executed for a reason that says nothing of the endpoint's health. */
     int NOT_EXECUTED = 7;
-    /** As CONNECTION_LOST, without a byte of an answer, on a connection kept from an earlier call. */
+    /**
+     * As {@link #CONNECTION_LOST}, without a byte of an answer, on a connection kept from an earlier call.
+     */
     int STALE_CONNECTION = 8;
 
     /**
-     * {@code withinMicros} of 0 leaves the shot out until the envelope's expiry. What has not left whole when
-     * the clock says {@code leaveBy} is not sent any more, and told as NOT_EXECUTED: its time, or that in
-     * which a repeat is known, is over.
+     * Sends a message to an endpoint. Messages that are sent to one endpoint in one round may share a call,
+     * up to the batch size of the endpoint's kind.
+     *
+     * @param timeoutMicros how long to wait for the answer; 0 to wait until the message expires
+     * @param sendByMicros a message that is not sent completely at this time is not sent any more and its
+     *     outcome is {@link #NOT_EXECUTED}: its time to live, or the time in which the endpoint recognizes a
+     *     repeat, is over
      */
-    void send(int envelope, int endpoint, long withinMicros, long leaveBy);
+    void send(int message, int endpoint, long timeoutMicros, long sendByMicros);
 
-    void reject(int envelope, long pauseMicros);
+    /**
+     * Ends a message that took no effect, or whose repeat does no harm: the client may submit it again.
+     *
+     * @param retryAfterMicros how long the client should wait before that, or 0
+     */
+    void reject(int message, long retryAfterMicros);
 
-    void fail(int envelope);
+    /** Ends a message whose outcome is unknown and whose repeat might take effect a second time. */
+    void fail(int message);
 
-    void cancelAttempt(int envelope, int shot);
+    /**
+     * Cancels an attempt in flight; its end is reported like any other.
+     *
+     * @param attempt the number of the attempt, from 0
+     */
+    void cancelAttempt(int message, int attempt);
 
-    /** Closes the connections that lie idle to an endpoint. */
+    /** Closes the idle connections to an endpoint. */
     void closeIdleConnections(int endpoint);
 
-    /** Nothing is asked of this endpoint any more, so its index may be another's. */
+    /**
+     * Releases an endpoint: the policy does not use it any more, and its index may be given to another one.
+     */
     void releaseEndpoint(int endpoint);
 
-    /** From now on this endpoint is taken to be sick, or well again; to be told of, nothing is to be done. */
-    default void endpointHealthChanged(int endpoint, boolean well) {}
+    /** Tells that the policy regards an endpoint as unhealthy, or as healthy again; needs no action. */
+    default void endpointHealthChanged(int endpoint, boolean healthy) {}
 
-    /** Calls {@link DeliveryPolicy#alarmFired} once, at the first turn at least {@code inMicros} from now. */
-    void setAlarm(long inMicros);
+    /**
+     * Asks for one call of {@link DeliveryPolicy#alarmFired}, in the first round at least this long from now.
+     */
+    void setAlarm(long delayMicros);
 
-    /** {@code follow} asks for changes from now on, otherwise for the whole list once. */
-    void requestEndpointList(boolean follow);
+    /**
+     * Requests the list of endpoints.
+     *
+     * @param subscribe true to get changes from now on, false to get the complete list once
+     */
+    void requestEndpointList(boolean subscribe);
 }
