--- a/decisions/src/main/java/yewpath/PolicySettings.java
+++ b/decisions/src/main/java/yewpath/PolicySettings.java
@@ -100,7 +100,9 @@
     public long maxRetryAfterMicros;
     /** Whether rejections tell the client how long to wait. */
     public boolean reportsRetryAfter;
+    /** The message classes; a message names its class by the index. */
     public MessageClass[] messageClasses = {};
+    /** The tenants; not used by {@link DeliveryPolicy}. */
     public Tenant[] tenants = {};
     /**
      * By endpoint kind: whether each endpoint has its own limit, and not one with the others of its
--- a/decisions/src/test/java/yewpath/FleetReturnTest.java
+++ b/decisions/src/test/java/yewpath/FleetReturnTest.java
@@ -13,52 +13,63 @@
 import org.testng.annotations.Test;
 
 /**
- * All relays of a fleet before one destination that was gone and comes back cold. Each decides for itself; what counts is
- * what arrives from all of them: in any span of the told length N + 2 root N + 2 calls at most, N being what the settings
- * allow in it.
+ * Simulates all relays of a fleet that send to one destination, which is down for some time and returns with
+ * a part of its capacity. Each relay decides by itself, but together they must not make the destination
+ * collapse again: in any collapse window it may get N + 2 sqrt(N) + 2 calls at most, where N is the number
+ * that the settings allow.
  */
 public final class FleetReturnTest {
-    private static final long MS = 1_000, SECOND = 1_000_000;
-    private static final long GONE = 8 * SECOND, BACK = 22 * SECOND, END = 36 * SECOND;
-    private static final double COLD_FROM = 0.2, MULTIPLE = 2;
-    private static final long COLD_FOR = 9 * SECOND, FALL_FOR = 2 * SECOND;
+    /** Durations and times in microseconds. */
+    private static final long MILLISECOND = 1_000;
+    private static final long SECOND = 1_000_000;
+    private static final long OUTAGE_START_MICROS = 8 * SECOND;
+    private static final long RETURN_MICROS = 22 * SECOND;
+    private static final long END_MICROS = 36 * SECOND;
+    private static final double WARM_UP_INITIAL_SHARE = 0.2;
+    private static final double COLLAPSE_MULTIPLE = 2;
+    private static final long WARM_UP_MICROS = 9 * SECOND;
+    private static final long COLLAPSE_WINDOW_MICROS = 2 * SECOND;
 
-    /** What each further message of a call weighs, beside one for the first: the most that deployments are known to have. */
-    private static final double FURTHER_WEIGHT = 0.25;
+    /**
+     * The weight of each further message of a call, beside 1 for the first: the highest of all known
+     * deployments.
+     */
+    private static final double FURTHER_MESSAGE_WEIGHT = 0.25;
 
-    private record Arrival(long at, double weight) {}
+    private record Arrival(long atMicros, double weight) {}
 
-    private record Event(long at, long order, Runnable act) {}
+    private record Event(long atMicros, long sequence, Runnable action) {}
 
-    /** One relay: Logic, and what it asked for in its last turn. */
+    /** One relay: its policy, and the actions that the policy asked for in its last round. */
     private static final class Relay implements PolicyActions {
+        /** Pairs of a message and an endpoint. */
         final List<int[]> sent = new ArrayList<>();
-        final ArrayDeque<Integer> free = new ArrayDeque<>();
-        DeliveryPolicy logic;
-        int envelopes;
-        long alarmIn = -1;
+        final ArrayDeque<Integer> freeIndices = new ArrayDeque<>();
+        DeliveryPolicy policy;
+        int messageCount;
+        long alarmDelayMicros = -1;
 
-        int envelope() {
-            return free.isEmpty() ? envelopes++ : free.poll();
+        int newMessage() {
+            return freeIndices.isEmpty() ? messageCount++ : freeIndices.poll();
         }
 
         @Override
-        public void send(int envelope, int endpoint, long withinMicros, long leaveBy) {
-            sent.add(new int[]{envelope, endpoint});
+        public void send(int message, int endpoint, long timeoutMicros, long sendByMicros) {
+            sent.add(new int[]{message, endpoint});
         }
 
         @Override
-        public void reject(int envelope, long pauseMicros) {
-            free.add(envelope);
+        public void reject(int message, long retryAfterMicros) {
+            freeIndices.add(message);
         }
 
         @Override
-        public void fail(int envelope) {
-            free.add(envelope);
+        public void fail(int message) {
+            freeIndices.add(message);
         }
 
         @Override
-        public void cancelAttempt(int envelope, int shot) {}
+        public void cancelAttempt(int message, int attempt) {}
 
         @Override
         public void closeIdleConnections(int endpoint) {}
@@ -67,34 +78,35 @@
         public void releaseEndpoint(int endpoint) {}
 
         @Override
-        public void setAlarm(long inMicros) {
-            alarmIn = inMicros;
+        public void setAlarm(long delayMicros) {
+            alarmDelayMicros = delayMicros;
         }
 
         @Override
-        public void requestEndpointList(boolean follow) {}
+        public void requestEndpointList(boolean subscribe) {}
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(
-        Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private long now;
-    private long ordered;
+        Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::sequence));
+    private long nowMicros;
+    private long eventCount;
     /** Calls that arrived after the return. */
-    private final List<Arrival> arrived = new ArrayList<>();
-    private int delivered;
-    /** What the destination can still take at this moment. */
-    private double room;
-    private long roomAt;
+    private final List<Arrival> arrivals = new ArrayList<>();
+    private int deliveredMessages;
+    /** Calls that the destination accepts at this moment, as tokens of a bucket. */
+    private double tokens;
+    private long tokensAtMicros;
 
-    private void at(long time, Runnable act) {
-        events.add(new Event(time, ordered++, act));
+    private void schedule(long atMicros, Runnable action) {
+        events.add(new Event(atMicros, eventCount++, action));
     }
 
     @DataProvider
     public Object[][] fleets() {
         return new Object[][]{
-            // relays, endpoints, calls a second that the destination takes, share of that asked for, turned away at once,
-            // messages a call may carry
+            // relays, endpoints, calls per second that the destination accepts, messages submitted as a
+            // multiple of that, whether connects are refused at once during the outage, messages that a call
+            // may carry
             {6, 1, 40, 0.9, true, 1}, {20, 1, 40, 0.9, true, 1}, {30, 1, 20, 0.9, true, 1},
             {24, 2, 60, 1.2, true, 1},
             {100, 1, 40, 0.9, true, 1}, {20, 1, 40, 1.3, false, 1}, {30, 2, 40, 0.9, false, 1},
@@ -106,46 +118,48 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void togetherTheyKeepToWhatTheSettingsAllow(int relays, int endpoints, double rate, double load,
-        boolean atOnce,
-        int bundle) {
+    public void callsAfterTheReturnStayBelowTheCollapseLimit(int relays, int endpoints, double callsPerSecond,
+        double load, boolean refusesAtOnce, int maxBatchSize) {
         double worst = Double.NEGATIVE_INFINITY;
-        StringBuilder told = new StringBuilder();
+        StringBuilder report = new StringBuilder();
         for (int seed = 1; seed <= 4; seed++) {
-            play(relays, endpoints, rate, load, atOnce, bundle, seed);
-            double over = most(rate, bundle, told.append("seed ").append(seed).append(": "));
-            worst = Math.max(worst, over);
+            simulate(relays, endpoints, callsPerSecond, load, refusesAtOnce, maxBatchSize, seed);
+            double excess = largestExcess(callsPerSecond, maxBatchSize,
+                report.append("seed ").append(seed).append(": "));
+            worst = Math.max(worst, excess);
         }
-        assertTrue(worst <= 0, told.toString());
-        assertTrue(delivered > 0.3 * rate * (END - BACK) / SECOND, delivered + " delivered after the return");
+        assertTrue(worst <= 0, report.toString());
+        assertTrue(deliveredMessages > 0.3 * callsPerSecond * (END_MICROS - RETURN_MICROS) / SECOND,
+            deliveredMessages + " delivered after the return");
     }
 
-    private void play(int relays, int endpoints, double rate, double load, boolean atOnce, int bundle,
-        int seed) {
+    private void simulate(int relays, int endpoints, double callsPerSecond, double load,
+        boolean refusesAtOnce,
+        int maxBatchSize, int seed) {
         events.clear();
-        arrived.clear();
-        delivered = 0;
-        now = roomAt = 0;
-        room = 1;
-        SplittableRandom chance = new SplittableRandom(seed);
-        PolicySettings s = new PolicySettings();
-        s.relayCount = relays;
-        s.maxConcurrentCalls = 32;
-        s.maxOpenMessages = 400;
-        s.maxAttempts = 8;
-        s.cancelAllowed = true;
-        s.listReportsRate = true;
-        s.reportsRetryAfter = true;
-        s.maxRetryAfterMicros = 3 * SECOND;
-        s.warmUpInitialShare = COLD_FROM;
-        s.warmUpMicros = COLD_FOR;
-        s.collapseMultiple = MULTIPLE;
-        s.collapseWindowMicros = FALL_FOR;
-        s.connectTimeoutMicros = SECOND;
-        s.idleConnectionTimeoutMicros = 10 * SECOND;
-        s.limitPerEndpoint = new boolean[1];
-        s.maxBatchSize = new int[]{bundle};
-        s.messageClasses = new PolicySettings.MessageClass[]{
+        arrivals.clear();
+        deliveredMessages = 0;
+        nowMicros = tokensAtMicros = 0;
+        tokens = 1;
+        SplittableRandom random = new SplittableRandom(seed);
+        PolicySettings settings = new PolicySettings();
+        settings.relayCount = relays;
+        settings.maxConcurrentCalls = 32;
+        settings.maxOpenMessages = 400;
+        settings.maxAttempts = 8;
+        settings.cancelAllowed = true;
+        settings.listReportsRate = true;
+        settings.reportsRetryAfter = true;
+        settings.maxRetryAfterMicros = 3 * SECOND;
+        settings.warmUpInitialShare = WARM_UP_INITIAL_SHARE;
+        settings.warmUpMicros = WARM_UP_MICROS;
+        settings.collapseMultiple = COLLAPSE_MULTIPLE;
+        settings.collapseWindowMicros = COLLAPSE_WINDOW_MICROS;
+        settings.connectTimeoutMicros = SECOND;
+        settings.idleConnectionTimeoutMicros = 10 * SECOND;
+        settings.limitPerEndpoint = new boolean[1];
+        settings.maxBatchSize = new int[]{maxBatchSize};
+        settings.messageClasses = new PolicySettings.MessageClass[]{
             new PolicySettings.MessageClass(1, 0.1, SECOND, 8 * SECOND,
                 PolicySettings.DeliverySemantics.IDEMPOTENT, false, 0, false),
             new PolicySettings.MessageClass(1, 0.4, 3 * SECOND, 28 * SECOND,
@@ -153,127 +167,139 @@
         List<Relay> fleet = new ArrayList<>();
         for (int i = 0; i < relays; i++) {
             Relay relay = new Relay();
-            s.relayIndex = i;
-            relay.logic = new DeliveryPolicy(s, seed * 1000L + i, relay, 0);
-            relay.logic.endpointListStarted(true, false);
-            for (int e = 0; e < endpoints; e++) {
-                relay.logic.endpointListed(e, 0, 0, 0, 0, rate, 0);
+            settings.relayIndex = i;
+            relay.policy = new DeliveryPolicy(settings, seed * 1000L + i, relay, 0);
+            relay.policy.endpointListStarted(true, false);
+            for (int endpoint = 0; endpoint < endpoints; endpoint++) {
+                relay.policy.endpointListed(endpoint, 0, 0, 0, 0, callsPerSecond, 0);
             }
-            relay.logic.endpointListEnded();
+            relay.policy.endpointListEnded();
             fleet.add(relay);
         }
-        // Some relays are handed more than others, and in clumps.
-        double[] share = new double[relays];
+        // Some relays get more messages than others: every fifth one, on average, several times as many.
+        double[] shares = new double[relays];
         for (int i = 0; i < relays; i++) {
-            share[i] = 0.3 + chance.nextDouble() * (chance.nextInt(5) == 0 ? 4 : 1);
+            shares[i] = 0.3 + random.nextDouble() * (random.nextInt(5) == 0 ? 4 : 1);
         }
-        double sum = Arrays.stream(share).sum();
-        for (long t = 0; t < END; t += (long) (-Math.log(1 - chance.nextDouble()) * SECOND / (rate * load))) {
-            double pick = chance.nextDouble() * sum;
-            int which = 0;
-            for (; which < relays - 1 && pick >= share[which]; which++) {
-                pick -= share[which];
+        double shareSum = Arrays.stream(shares).sum();
+        for (long atMicros = 0; atMicros < END_MICROS; atMicros += (long) (-Math.log(1 - random.nextDouble())
+            * SECOND / (callsPerSecond * load))) {
+            double pick = random.nextDouble() * shareSum;
+            int index = 0;
+            for (; index < relays - 1 && pick >= shares[index]; index++) {
+                pick -= shares[index];
             }
-            Relay to = fleet.get(which);
-            int offering = chance.nextInt(2);
-            at(t, () -> {
-                to.logic.setTime(now);
-                to.logic.messageAccepted(to.envelope(), offering, -1, -1, 0,
-                    now + s.messageClasses[offering].timeToLiveMicros(), 0,
-                    -1, 0);
-                turn(to, rate, atOnce, bundle, chance);
+            Relay relay = fleet.get(index);
+            int messageClass = random.nextInt(2);
+            schedule(atMicros, () -> {
+                relay.policy.setTime(nowMicros);
+                relay.policy.messageAccepted(relay.newMessage(), messageClass, -1, -1, 0,
+                    nowMicros + settings.messageClasses[messageClass].timeToLiveMicros(), 0, -1, 0);
+                completeRound(relay, callsPerSecond, refusesAtOnce, maxBatchSize, random);
             });
         }
-        while (!events.isEmpty() && events.peek().at < END) {
+        while (!events.isEmpty() && events.peek().atMicros < END_MICROS) {
             Event event = events.poll();
-            now = event.at;
-            event.act.run();
+            nowMicros = event.atMicros;
+            event.action.run();
         }
     }
 
-    private void turn(Relay relay, double rate, boolean atOnce, int bundle, SplittableRandom chance) {
-        relay.alarmIn = -1;
-        relay.logic.completeRound(true);
-        if (relay.alarmIn >= 0) {
-            at(now + relay.alarmIn, () -> {
-                relay.logic.setTime(now);
-                relay.logic.alarmFired();
-                turn(relay, rate, atOnce, bundle, chance);
+    private void completeRound(Relay relay, double callsPerSecond, boolean refusesAtOnce, int maxBatchSize,
+        SplittableRandom random) {
+        relay.alarmDelayMicros = -1;
+        relay.policy.completeRound(true);
+        if (relay.alarmDelayMicros >= 0) {
+            schedule(nowMicros + relay.alarmDelayMicros, () -> {
+                relay.policy.setTime(nowMicros);
+                relay.policy.alarmFired();
+                completeRound(relay, callsPerSecond, refusesAtOnce, maxBatchSize, random);
             });
         }
         List<int[]> sent = List.copyOf(relay.sent);
         relay.sent.clear();
-        for (int endpoint : sent.stream().mapToInt(one -> one[1]).distinct().toArray()) {
-            int[] messages = sent.stream().filter(one -> one[1] == endpoint).mapToInt(one -> one[0])
+        for (int endpoint : sent.stream().mapToInt(send -> send[1]).distinct().toArray()) {
+            int[] messages = sent.stream().filter(send -> send[1] == endpoint).mapToInt(send -> send[0])
                 .toArray();
-            for (int from = 0; from < messages.length; from += bundle) {
-                int[] carried = Arrays.copyOfRange(messages, from, Math.min(messages.length, from + bundle));
-                call(relay, endpoint, carried, rate, atOnce, bundle, chance);
+            for (int from = 0; from < messages.length; from += maxBatchSize) {
+                int[] batch = Arrays.copyOfRange(messages, from,
+                    Math.min(messages.length, from + maxBatchSize));
+                call(relay, endpoint, batch, callsPerSecond, refusesAtOnce, maxBatchSize, random);
             }
         }
     }
 
-    private void call(Relay relay, int endpoint, int[] messages, double rate, boolean atOnce, int bundle,
-        SplittableRandom chance) {
-        long began = now;
-        boolean gone = now >= GONE && now < BACK;
-        if (now >= BACK) {
-            arrived.add(new Arrival(now, 1 + FURTHER_WEIGHT * (messages.length - 1)));
+    private void call(Relay relay, int endpoint, int[] messages, double callsPerSecond, boolean refusesAtOnce,
+        int maxBatchSize, SplittableRandom random) {
+        long startedAtMicros = nowMicros;
+        boolean isDown = nowMicros >= OUTAGE_START_MICROS && nowMicros < RETURN_MICROS;
+        if (nowMicros >= RETURN_MICROS) {
+            arrivals.add(new Arrival(nowMicros, 1 + FURTHER_MESSAGE_WEIGHT * (messages.length - 1)));
         }
-        boolean full = !gone && !takes(rate);
-        long takes = gone ? atOnce ? 2 * MS : SECOND : full ? 25 * MS : 60 * MS + chance.nextLong(80 * MS);
-        at(now + takes, () -> {
-            relay.logic.setTime(now);
+        boolean isOverloaded = !isDown && !acceptsCall(callsPerSecond);
+        long durationMicros = isDown ? refusesAtOnce ? 2 * MILLISECOND : SECOND
+            : isOverloaded ? 25 * MILLISECOND : 60 * MILLISECOND + random.nextLong(80 * MILLISECOND);
+        schedule(nowMicros + durationMicros, () -> {
+            relay.policy.setTime(nowMicros);
             for (int message : messages) {
-                delivered += gone || full || began < BACK ? 0 : 1;
-                relay.logic.attemptEnded(message, !gone && !full, 0, endpoint,
-                    gone ? PolicyActions.UNREACHABLE : full ? PolicyActions.OVERLOADED
-                        : PolicyActions.DELIVERED,
-                    0, now - began, Double.NaN, Double.NaN);
-                if (!gone && !full) {
-                    relay.free.add(message);
+                deliveredMessages += isDown || isOverloaded || startedAtMicros < RETURN_MICROS ? 0 : 1;
+                relay.policy.attemptEnded(message, !isDown && !isOverloaded, 0, endpoint,
+                    isDown ? PolicyActions.UNREACHABLE
+                        : isOverloaded ? PolicyActions.OVERLOADED : PolicyActions.DELIVERED,
+                    0, nowMicros - startedAtMicros, Double.NaN, Double.NaN);
+                if (!isDown && !isOverloaded) {
+                    relay.freeIndices.add(message);
                 }
             }
-            turn(relay, rate, atOnce, bundle, chance);
+            completeRound(relay, callsPerSecond, refusesAtOnce, maxBatchSize, random);
         });
     }
 
-    /** Whether it takes one more call; refused ones use nothing up. */
-    private boolean takes(double rate) {
-        double warm = now < BACK ? 1 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - BACK) / COLD_FOR);
-        room = Math.min(rate * warm / 2, room + rate * warm * (now - roomAt) / SECOND);
-        roomAt = now;
-        if (room < 1) {
+    /** Returns whether the destination accepts one more call; refused calls don't use up its limit. */
+    private boolean acceptsCall(double callsPerSecond) {
+        double capacityShare = nowMicros < RETURN_MICROS ? 1 : Math.min(1, WARM_UP_INITIAL_SHARE
+            + (1 - WARM_UP_INITIAL_SHARE) * (nowMicros - RETURN_MICROS) / WARM_UP_MICROS);
+        tokens = Math.min(callsPerSecond * capacityShare / 2,
+            tokens + callsPerSecond * capacityShare * (nowMicros - tokensAtMicros) / SECOND);
+        tokensAtMicros = nowMicros;
+        if (tokens < 1) {
             return false;
         }
-        room--;
+        tokens--;
         return true;
     }
 
-    /** How far the fullest span is over what is allowed; below 0 where none is. */
-    private double most(double rate, int bundle, StringBuilder told) {
+    /**
+     * Returns by how many calls the collapse window with the most calls exceeds its limit; negative if none
+     * does. Appends a description of that window to the report.
+     */
+    private double largestExcess(double callsPerSecond, int maxBatchSize, StringBuilder report) {
         double worst = Double.NEGATIVE_INFINITY;
-        String fullest = "none";
+        String description = "none";
         double weight = 0;
-        for (int first = 0, last = 0; last < arrived.size(); last++) {
-            weight += arrived.get(last).weight;
-            while (arrived.get(last).at - arrived.get(first).at >= FALL_FOR) {
-                weight -= arrived.get(first++).weight;
+        for (int first = 0, last = 0; last < arrivals.size(); last++) {
+            weight += arrivals.get(last).weight;
+            while (arrivals.get(last).atMicros - arrivals.get(first).atMicros >= COLLAPSE_WINDOW_MICROS) {
+                weight -= arrivals.get(first++).weight;
             }
-            long since = Math.max(0, arrived.get(last).at - FALL_FOR - BACK);
-            if (since >= COLD_FOR || bundle > 1 && arrived.get(last).at - BACK >= COLD_FOR) {
+            long sinceReturnMicros = Math.max(0,
+                arrivals.get(last).atMicros - COLLAPSE_WINDOW_MICROS - RETURN_MICROS);
+            if (sinceReturnMicros >= WARM_UP_MICROS
+                || maxBatchSize > 1 && arrivals.get(last).atMicros - RETURN_MICROS >= WARM_UP_MICROS) {
                 break;
             }
-            double n = MULTIPLE * rate * (COLD_FROM + (1 - COLD_FROM) * since / COLD_FOR) * FALL_FOR / SECOND;
-            double allowed = n + 2 * Math.sqrt(n) + 2;
-            if (weight - allowed > worst) {
-                worst = weight - allowed;
-                fullest = String.format("%.1f calls where %.0f are allowed, %.1f s after the return", weight,
-                    allowed,
-                    (arrived.get(last).at - BACK) / 1e6);
+            double allowedBySettings = COLLAPSE_MULTIPLE * callsPerSecond
+                * (WARM_UP_INITIAL_SHARE + (1 - WARM_UP_INITIAL_SHARE) * sinceReturnMicros / WARM_UP_MICROS)
+                * COLLAPSE_WINDOW_MICROS / SECOND;
+            double limit = allowedBySettings + 2 * Math.sqrt(allowedBySettings) + 2;
+            if (weight - limit > worst) {
+                worst = weight - limit;
+                description = String.format("%.1f calls where %.0f are allowed, %.1f s after the return",
+                    weight,
+                    limit, (arrivals.get(last).atMicros - RETURN_MICROS) / 1e6);
             }
         }
-        told.append(fullest).append("; ");
+        report.append(description).append("; ");
         return worst;
     }
 }
--- a/decisions/src/test/java/yewpath/ScenarioTest.java
+++ b/decisions/src/test/java/yewpath/ScenarioTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -15,65 +16,74 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Plays the scenario files; their notation is in src/test/resources/scenarios/README.md. */
+/**
+ * Runs each scenario file against {@link DeliveryPolicy} and checks the actions that it asks for. The
+ * notation is described in src/test/resources/scenarios/README.md.
+ */
 public final class ScenarioTest {
-    private static final Path FOLDER = Path.of("src/test/resources/scenarios");
+    private static final Path SCENARIO_DIRECTORY = Path.of("src/test/resources/scenarios");
+    /** The words for the outcomes of {@link PolicyActions}, by their number. */
     private static final List<String> OUTCOMES = List.of("fulfilled", "error", "full", "timeout", "unreached",
         "broken", "cancelled", "moot", "stale");
 
     @DataProvider
     public Object[][] scenarios() throws IOException {
-        try (Stream<Path> files = Files.list(FOLDER)) {
-            return files.filter(f -> f.toString().endsWith(".txt")).sorted().map(f -> new Object[]{f})
+        try (Stream<Path> files = Files.list(SCENARIO_DIRECTORY)) {
+            return files.filter(file -> file.toString().endsWith(".txt")).sorted()
+                .map(file -> new Object[]{file})
                 .toArray(Object[][]::new);
         }
     }
 
     @Test(dataProvider = "scenarios")
-    public void plays(Path file) throws IOException {
+    public void asksForTheExpectedActions(Path file) throws IOException {
         List<String> lines = Files.readAllLines(file);
-        Player player = new Player();
+        ScenarioPlayer player = new ScenarioPlayer();
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i).replaceFirst("#.*", "").strip();
             try {
                 if (!line.isEmpty()) {
-                    player.play(line.split("\\s+"));
+                    player.run(line.split("\\s+"));
                 }
-            } catch (RuntimeException | AssertionError e) {
-                fail(file + ":" + (i + 1) + ": " + line + ": " + e.getMessage() + "; done so far "
-                    + player.acts, e);
+            } catch (RuntimeException | AssertionError failure) {
+                fail(file + ":" + (i + 1) + ": " + line + ": " + failure.getMessage() + "; actions so far: "
+                    + player.actions, failure);
             }
         }
         if (player.checks == 0) {
-            fail(file + " checks nothing");
+            fail(file + " has no expect, never, count, most, least or keys line");
         }
     }
 
     @Test(expectedExceptions = IllegalArgumentException.class)
-    public void refusesAnUnknownWord() {
-        new Player().play(new String[]{"offring", "a"});
+    public void rejectsAnUnknownCommand() {
+        new ScenarioPlayer().run(new String[]{"offring", "a"});
     }
 
-    private static final class Player implements PolicyActions {
+    /**
+     * Runs the lines of one scenario: reports events to a policy and records the actions that it asks for.
+     */
+    private static final class ScenarioPlayer implements PolicyActions {
         final PolicySettings settings = new PolicySettings();
-        final List<String> acts = new ArrayList<>();
-        private final List<String> offerings = new ArrayList<>();
-        private final List<String> kinds = new ArrayList<>();
+        /** The actions since the last mark, in the words of the scenario files. */
+        final List<String> actions = new ArrayList<>();
+        private final List<String> messageClasses = new ArrayList<>();
+        private final List<String> endpointKinds = new ArrayList<>();
         private final Map<String, Integer> endpoints = new HashMap<>();
         private final Map<String, Integer> destinations = new HashMap<>();
         private final Map<String, Integer> keys = new HashMap<>();
         private final Map<Integer, String> endpointNames = new HashMap<>();
-        private final ArrayDeque<Integer> forgotten = new ArrayDeque<>();
-        private final Map<Integer, Integer> shots = new HashMap<>();
-        private final Map<Integer, Integer> shotAt = new HashMap<>();
-        private final Map<Integer, Long> sentAt = new HashMap<>();
-        private final TreeSet<Long> alarms = new TreeSet<>();
-        private DeliveryPolicy logic;
-        private long now;
+        private final ArrayDeque<Integer> releasedEndpoints = new ArrayDeque<>();
+        private final Map<Integer, Integer> attempts = new HashMap<>();
+        private final Map<Integer, Integer> sentTo = new HashMap<>();
+        private final Map<Integer, Long> sentAtMicros = new HashMap<>();
+        private final TreeSet<Long> alarmTimesMicros = new TreeSet<>();
+        private DeliveryPolicy policy;
+        private long nowMicros;
         private long seed = 1;
         int checks;
 
-        Player() {
+        ScenarioPlayer() {
             settings.relayCount = 1;
             settings.maxConcurrentCalls = 8;
             settings.maxOpenMessages = 200;
@@ -85,47 +95,50 @@
             settings.listReportsRate = true;
         }
 
-        void play(String[] w) {
+        void run(String[] words) {
             Map<String, String> named = new HashMap<>();
-            for (String word : w) {
+            for (String word : words) {
                 int equals = word.indexOf('=');
                 if (equals > 0) {
                     named.put(word.substring(0, equals), word.substring(equals + 1));
                 }
             }
-            switch (w[0]) {
-                case "relay" -> relay(named);
-                case "offering" -> offering(w, named);
-                case "kind" -> kind(w);
+            switch (words[0]) {
+                case "relay" -> changeSettings(named);
+                case "offering" -> addMessageClass(words, named);
+                case "kind" -> addEndpointKind(words);
                 case "expect", "never" -> {
                     checks++;
-                    String act = String.join(" ", List.of(w).subList(1, w.length));
-                    boolean seen = acts.stream().anyMatch(a -> a.equals(act) || a.startsWith(act + " "));
-                    if (seen != w[0].equals("expect")) {
+                    String expected = String.join(" ", List.of(words).subList(1, words.length));
+                    boolean seen = actions.stream()
+                        .anyMatch(act -> act.equals(expected) || act.startsWith(expected + " "));
+                    if (seen != words[0].equals("expect")) {
                         throw new AssertionError(seen ? "happened" : "did not happen");
                     }
                 }
                 case "count", "most", "least" -> {
                     checks++;
-                    String act = String.join(" ", List.of(w).subList(2, w.length));
-                    long n = acts.stream().filter(a -> a.equals(act) || a.startsWith(act + " ")).count();
-                    long wanted = Long.parseLong(w[1]);
-                    if (w[0].equals("most") ? n > wanted : w[0].equals("least") ? n < wanted : n != wanted) {
-                        throw new AssertionError("happened " + n + " times");
+                    String expected = String.join(" ", List.of(words).subList(2, words.length));
+                    long seen = actions.stream()
+                        .filter(act -> act.equals(expected) || act.startsWith(expected + " ")).count();
+                    long wanted = Long.parseLong(words[1]);
+                    if (words[0].equals("most") ? seen > wanted
+                        : words[0].equals("least") ? seen < wanted : seen != wanted) {
+                        throw new AssertionError("happened " + seen + " times");
                     }
                 }
                 case "keys" -> {
                     checks++;
-                    if (logic.trackedKeyCount() != Integer.parseInt(w[1])) {
-                        throw new AssertionError(logic.trackedKeyCount() + " are kept");
+                    if (policy.trackedKeyCount() != Integer.parseInt(words[1])) {
+                        throw new AssertionError(policy.trackedKeyCount() + " keys are in memory");
                     }
                 }
-                case "mark" -> acts.clear();
-                default -> event(w, named);
+                case "mark" -> actions.clear();
+                default -> runEvent(words, named);
             }
         }
 
-        private void relay(Map<String, String> named) {
+        private void changeSettings(Map<String, String> named) {
             named.forEach((key, value) -> {
                 switch (key) {
                     case "relays" -> settings.relayCount = Integer.parseInt(value);
@@ -138,10 +151,10 @@
                     }
                     case "list" -> settings.listOnRequest = value.equals("asked");
                     case "late" -> settings.lateRevenueHalves = value.equals("halving");
-                    case "settle" -> settings.settleAfterUncertainMicros = ms(value);
+                    case "settle" -> settings.settleAfterUncertainMicros = toMicros(value);
                     case "probes" -> settings.probesAllowed = value.equals("yes");
-                    case "idle" -> settings.idleConnectionTimeoutMicros = ms(value);
-                    case "connect" -> settings.connectTimeoutMicros = ms(value);
+                    case "idle" -> settings.idleConnectionTimeoutMicros = toMicros(value);
+                    case "connect" -> settings.connectTimeoutMicros = toMicros(value);
                     case "cancels" -> settings.cancelAllowed = value.equals("yes");
                     case "zone" -> settings.zone = Integer.parseInt(value);
                     case "refusal" -> settings.refusalPrice = Double.parseDouble(value);
@@ -149,107 +162,113 @@
                     case "fees" -> settings.zoneFees = Stream.of(value.split(","))
                         .mapToDouble(Double::parseDouble).toArray();
                     case "seed" -> seed = Long.parseLong(value);
-                    default -> throw new IllegalArgumentException("unknown figure " + key);
+                    default -> throw new IllegalArgumentException("unknown setting of the relay: " + key);
                 }
             });
         }
 
-        private void offering(String[] w, Map<String, String> named) {
-            offerings.add(w[1]);
-            PolicySettings.DeliverySemantics kind = PolicySettings.DeliverySemantics.ofWord(w[2]);
-            PolicySettings.MessageClass[] all = java.util.Arrays.copyOf(settings.messageClasses,
-                offerings.size());
+        private void addMessageClass(String[] words, Map<String, String> named) {
+            messageClasses.add(words[1]);
+            PolicySettings.DeliverySemantics semantics = PolicySettings.DeliverySemantics.ofWord(words[2]);
+            PolicySettings.MessageClass[] all = Arrays.copyOf(settings.messageClasses,
+                messageClasses.size());
             all[all.length - 1] = new PolicySettings.MessageClass(
                 Double.parseDouble(named.getOrDefault("revenue", "1")),
                 Double.parseDouble(named.getOrDefault("late", "0.1")),
-                ms(named.getOrDefault("agreed", "1000")),
-                ms(named.getOrDefault("expiry", "8000")), kind, List.of(w).contains("zone"),
-                ms(named.getOrDefault("memory", "5000")), List.of(w).contains("ordered"));
+                toMicros(named.getOrDefault("agreed", "1000")),
+                toMicros(named.getOrDefault("expiry", "8000")), semantics, List.of(words).contains("zone"),
+                toMicros(named.getOrDefault("memory", "5000")), List.of(words).contains("ordered"));
             settings.messageClasses = all;
         }
 
-        private void kind(String[] w) {
-            kinds.add(w[1]);
-            settings.limitPerEndpoint = java.util.Arrays.copyOf(settings.limitPerEndpoint, kinds.size());
-            settings.maxBatchSize = java.util.Arrays.copyOf(settings.maxBatchSize, kinds.size());
-            settings.limitPerEndpoint[kinds.size() - 1] = List.of(w).contains("apart");
-            settings.maxBatchSize[kinds.size() - 1] = List.of(w).contains("bundled") ? 20 : 1;
+        private void addEndpointKind(String[] words) {
+            endpointKinds.add(words[1]);
+            settings.limitPerEndpoint = Arrays.copyOf(settings.limitPerEndpoint, endpointKinds.size());
+            settings.maxBatchSize = Arrays.copyOf(settings.maxBatchSize, endpointKinds.size());
+            settings.limitPerEndpoint[endpointKinds.size() - 1] = List.of(words).contains("apart");
+            settings.maxBatchSize[endpointKinds.size() - 1] = List.of(words).contains("bundled") ? 20 : 1;
         }
 
-        private void event(String[] w, Map<String, String> named) {
-            if (!w[0].matches("\\d+")) {
-                throw new IllegalArgumentException("unknown word " + w[0]);
+        private void runEvent(String[] words, Map<String, String> named) {
+            if (!words[0].matches("\\d+")) {
+                throw new IllegalArgumentException(
+                    "a line starts with a time in milliseconds or a command, found " + words[0]);
             }
-            if (logic == null) {
-                logic = new DeliveryPolicy(settings, seed, this, 0);
+            if (policy == null) {
+                policy = new DeliveryPolicy(settings, seed, this, 0);
             }
-            reach(ms(w[0]));
-            if (w.length > 1) {
-                one(w, named);
+            advanceTo(toMicros(words[0]));
+            if (words.length > 1) {
+                reportEvent(words, named);
             }
-            logic.completeRound(true);
+            policy.completeRound(true);
         }
 
-        private void reach(long to) {
-            while (!alarms.isEmpty() && alarms.first() <= to) {
-                now = alarms.pollFirst();
-                logic.setTime(now);
-                logic.alarmFired();
-                logic.completeRound(true);
+        private void advanceTo(long timeMicros) {
+            while (!alarmTimesMicros.isEmpty() && alarmTimesMicros.first() <= timeMicros) {
+                nowMicros = alarmTimesMicros.pollFirst();
+                policy.setTime(nowMicros);
+                policy.alarmFired();
+                policy.completeRound(true);
             }
-            now = to;
-            logic.setTime(now);
+            nowMicros = timeMicros;
+            policy.setTime(nowMicros);
         }
 
-        private void one(String[] w, Map<String, String> named) {
-            if (OUTCOMES.contains(w[1])) {
-                for (int id = first(w[2]); id <= last(w[2]); id++) {
-                    int outcome = OUTCOMES.indexOf(w[1]);
-                    logic.attemptEnded(id, outcome == 0, shots.getOrDefault(id, 1) - 1,
-                        shotAt.getOrDefault(id, 0),
+        private void reportEvent(String[] words, Map<String, String> named) {
+            if (OUTCOMES.contains(words[1])) {
+                for (int message = first(words[2]); message <= last(words[2]); message++) {
+                    int outcome = OUTCOMES.indexOf(words[1]);
+                    policy.attemptEnded(message, outcome == 0, attempts.getOrDefault(message, 1) - 1,
+                        sentTo.getOrDefault(message, 0),
                         outcome,
-                        ms(named.getOrDefault("wait", "0")), now - sentAt.getOrDefault(id, 0L),
+                        toMicros(named.getOrDefault("wait", "0")),
+                        nowMicros - sentAtMicros.getOrDefault(message, 0L),
                         Double.parseDouble(named.getOrDefault("left", "NaN")),
                         Double.parseDouble(named.getOrDefault("limit", "NaN")));
                 }
                 return;
             }
-            switch (w[1]) {
+            switch (words[1]) {
                 case "take" -> {
-                    int offering = offerings.indexOf(w[3]);
+                    int messageClass = messageClasses.indexOf(words[3]);
                     String key = named.get("key");
-                    for (int id = first(w[2]); id <= last(w[2]); id++) {
-                        logic.messageAccepted(id, offering, -1,
-                            key == null ? -1 : keys.computeIfAbsent(key, k -> keys.size()),
-                            destinations.computeIfAbsent(w[4], d -> destinations.size()),
-                            now + settings.messageClasses[offering].timeToLiveMicros(),
+                    for (int message = first(words[2]); message <= last(words[2]); message++) {
+                        policy.messageAccepted(message, messageClass, -1,
+                            key == null ? -1 : keys.computeIfAbsent(key, name -> keys.size()),
+                            destinations.computeIfAbsent(words[4], name -> destinations.size()),
+                            nowMicros + settings.messageClasses[messageClass].timeToLiveMicros(),
                             Integer.parseInt(named.getOrDefault("shots", "0")),
-                            named.containsKey("doubt") ? ms(named.get("doubt")) : -1, 0);
+                            named.containsKey("doubt") ? toMicros(named.get("doubt")) : -1, 0);
                     }
                 }
-                case "withdrawn" -> logic.messageWithdrawn(first(w[2]));
+                case "withdrawn" -> policy.messageWithdrawn(first(words[2]));
                 case "list" -> {
-                    if (w[2].equals("failed")) {
-                        logic.endpointListFailed();
+                    if (words[2].equals("failed")) {
+                        policy.endpointListFailed();
                         return;
                     }
-                    logic.endpointListStarted(!w[2].equals("delta"), w[2].equals("cached"));
-                    for (int i = 3; i < w.length; i++) {
-                        String[] f = w[i].split(":");
-                        int at = endpoints.computeIfAbsent(f[0],
-                            e -> forgotten.isEmpty() ? endpointNames.size() : forgotten.poll());
-                        endpointNames.put(at, f[0]);
-                        logic.endpointListed(at, f.length > 5 ? Integer.parseInt(f[5]) : 0,
-                            Math.max(0, kinds.indexOf(f[2])),
-                            destinations.computeIfAbsent(f[1], d -> destinations.size()),
-                            List.of("up", "draining", "gone").indexOf(f[3]), Double.parseDouble(f[4]), 0);
+                    policy.endpointListStarted(!words[2].equals("delta"), words[2].equals("cached"));
+                    for (int i = 3; i < words.length; i++) {
+                        String[] fields = words[i].split(":");
+                        int endpoint = endpoints.computeIfAbsent(fields[0],
+                            name -> releasedEndpoints.isEmpty() ? endpointNames.size()
+                                : releasedEndpoints.poll());
+                        endpointNames.put(endpoint, fields[0]);
+                        policy.endpointListed(endpoint, fields.length > 5 ? Integer.parseInt(fields[5]) : 0,
+                            Math.max(0, endpointKinds.indexOf(fields[2])),
+                            destinations.computeIfAbsent(fields[1], name -> destinations.size()),
+                            List.of("up", "draining", "gone").indexOf(fields[3]),
+                            Double.parseDouble(fields[4]), 0);
                     }
-                    logic.endpointListEnded();
+                    policy.endpointListEnded();
                 }
-                default -> throw new IllegalArgumentException("unknown event " + w[1]);
+                default -> throw new IllegalArgumentException(
+                    "an event is an outcome, take, withdrawn or list, found " + words[1]);
             }
         }
 
+        /** Returns the first index of a range ID-ID or of a single ID. */
         private static int first(String ids) {
             return Integer.parseInt(ids.split("-")[0]);
         }
@@ -258,61 +277,61 @@
             return ids.contains("-") ? Integer.parseInt(ids.split("-")[1]) : first(ids);
         }
 
-        private static long ms(String value) {
-            return Math.round(Double.parseDouble(value) * 1000);
+        private static long toMicros(String millis) {
+            return Math.round(Double.parseDouble(millis) * 1000);
         }
 
         @Override
-        public void send(int envelope, int endpoint, long withinMicros, long leaveBy) {
-            shots.merge(envelope, 1, Integer::sum);
-            shotAt.put(envelope, endpoint);
-            sentAt.put(envelope, now);
-            acts.add("send " + envelope + " " + endpointNames.get(endpoint) + " within="
-                + withinMicros / 100_000 / 10.0
-                + " @" + now / 1000);
-            acts.add("to " + endpointNames.get(endpoint));
+        public void send(int message, int endpoint, long timeoutMicros, long sendByMicros) {
+            attempts.merge(message, 1, Integer::sum);
+            sentTo.put(message, endpoint);
+            sentAtMicros.put(message, nowMicros);
+            actions.add("send " + message + " " + endpointNames.get(endpoint) + " within="
+                + timeoutMicros / 100_000 / 10.0
+                + " @" + nowMicros / 1000);
+            actions.add("to " + endpointNames.get(endpoint));
         }
 
         @Override
-        public void reject(int envelope, long pauseMicros) {
-            acts.add("defer " + envelope + " pause=" + pauseMicros / 1000);
+        public void reject(int message, long retryAfterMicros) {
+            actions.add("defer " + message + " pause=" + retryAfterMicros / 1000);
         }
 
         @Override
-        public void fail(int envelope) {
-            acts.add("abort " + envelope);
+        public void fail(int message) {
+            actions.add("abort " + message);
         }
 
         @Override
-        public void cancelAttempt(int envelope, int shot) {
-            acts.add("cancel " + envelope + " " + shot);
+        public void cancelAttempt(int message, int attempt) {
+            actions.add("cancel " + message + " " + attempt);
         }
 
         @Override
         public void closeIdleConnections(int endpoint) {
-            acts.add("close " + endpointNames.get(endpoint));
+            actions.add("close " + endpointNames.get(endpoint));
         }
 
         @Override
         public void releaseEndpoint(int endpoint) {
-            acts.add("forget " + endpointNames.get(endpoint));
+            actions.add("forget " + endpointNames.get(endpoint));
             endpoints.remove(endpointNames.get(endpoint));
-            forgotten.add(endpoint);
+            releasedEndpoints.add(endpoint);
         }
 
         @Override
-        public void endpointHealthChanged(int endpoint, boolean well) {
-            acts.add((well ? "well " : "sick ") + endpointNames.get(endpoint));
+        public void endpointHealthChanged(int endpoint, boolean healthy) {
+            actions.add((healthy ? "well " : "sick ") + endpointNames.get(endpoint));
         }
 
         @Override
-        public void setAlarm(long inMicros) {
-            alarms.add(now + inMicros);
+        public void setAlarm(long delayMicros) {
+            alarmTimesMicros.add(nowMicros + delayMicros);
         }
 
         @Override
-        public void requestEndpointList(boolean follow) {
-            acts.add(follow ? "follow" : "fetch");
+        public void requestEndpointList(boolean subscribe) {
+            actions.add(subscribe ? "follow" : "fetch");
         }
     }
 }
