--- a/decisions/src/main/java/yewpath/DeliveryPolicy.java
+++ b/decisions/src/main/java/yewpath/DeliveryPolicy.java
@@ -289,7 +289,7 @@
 
     // ---- Values derived from the settings
 
-    /** Used where the settings tell nothing of how a destination returns from an outage. */
+    /** Defaults for settings about the return of a destination from an outage. */
     private static final double DEFAULT_WARM_UP_INITIAL_SHARE = 0.2;
     private static final long DEFAULT_WARM_UP_MICROS = 15 * SECOND;
     private static final double DEFAULT_COLLAPSE_MULTIPLE = 2;
@@ -882,7 +882,7 @@
     }
 
     /**
-     * Returns the first send rate of this relay: its even share of the limit and, unless load reports tell
+     * Returns the first send rate of this relay: its even share of the limit and, unless load reports show
      * what is unused, a part of what other relays leave: as much as lets a lone message be attempted several
      * times.
      */
@@ -894,7 +894,7 @@
     }
 
     /**
-     * Returns the tokens per second of the limiter: the send rate, or more where load reports tell that a
+     * Returns the tokens per second of the limiter: the send rate, or more where load reports show that a
      * share of the limit is unused. Any relay with queued messages may send into that.
      */
     private double refillRate(RateLimiter limiter) {
@@ -1077,6 +1077,7 @@
             ? nowMicros + RENEW_CONNECTIONS_MICROS : renewConnectionsUntilMicros;
         endpoint.consecutiveFailures = 0;
         endpoint.failureShare *= FAILURE_DECAY;
+        // A latency above four times the average counts as four times the average.
         usualLatencyMicros += USUAL_LATENCY_SMOOTHING
             * (min(elapsedMicros, 4 * usualLatencyMicros) - usualLatencyMicros);
         double deviation = min(elapsedMicros, 4 * endpoint.latencyMicros) - endpoint.latencyMicros;
@@ -1518,7 +1519,7 @@
             .reduce(0, (a, b) -> a | b);
         if (health == 1 && endpoint.limiter == destination.sharedLimiter) {
             // Endpoint listed while all others of the destination are down: without this, all relays would
-            // send it what they hold at once.
+            // send it all their waiting messages at once.
             markUnhealthy(endpoint, false);
             endpoint.nextProbeAtMicros = nowMicros + (long) (probeIntervalMicros(endpoint) * random());
         }
@@ -1563,7 +1564,7 @@
 
     /** Reports that the list could not be had; it is requested again after a growing, random delay. */
     public void endpointListFailed() {
-        // The failure doesn't tell whether the subscription still exists, so it is requested again.
+        // It is unknown whether the subscription still exists, so it is requested again.
         listRetryDelayMicros = listRetryDelayMicros == 0 ? listRetryMicros
             : min(4 * listRetryMicros, listRetryDelayMicros * 2);
         requestListAt(min(listRequestAtMicros, nowMicros + (long) (listRetryDelayMicros * (0.5 + random()))));
@@ -1731,6 +1732,7 @@
         activeCalls.add(call);
         endpoint.latencyMicros = endpoint.lastAnswerAtMicros == 0 ? usualLatencyMicros
             : endpoint.latencyMicros;
+        // The average follows shorter intervals faster than longer ones.
         double sinceLastCallMicros = nowMicros - endpoint.lastCallAtMicros;
         endpoint.callIntervalMicros = endpoint.lastCallAtMicros == 0
             ? SECOND * relayCount * max(1, endpoint.limiter.endpointsUp)
--- a/decisions/src/main/java/yewpath/PolicyActions.java
+++ b/decisions/src/main/java/yewpath/PolicyActions.java
@@ -65,7 +65,10 @@
      */
     void releaseEndpoint(int endpoint);
 
-    /** Tells that the policy regards an endpoint as unhealthy, or as healthy again; needs no action. */
+    /**
+     * Reports that the policy regards an endpoint as unhealthy, or as healthy again; the relay need not act
+     * on it.
+     */
     default void endpointHealthChanged(int endpoint, boolean healthy) {}
 
     /**
--- a/decisions/src/main/java/yewpath/PolicySettings.java
+++ b/decisions/src/main/java/yewpath/PolicySettings.java
@@ -98,7 +98,7 @@
     public double overShareWorth;
     /** The longest pause that a rejection may ask of a client. */
     public long maxRetryAfterMicros;
-    /** Whether rejections tell the client how long to wait. */
+    /** Whether rejections carry a pause for the client. */
     public boolean reportsRetryAfter;
     /** The message classes; a message names its class by the index. */
     public MessageClass[] messageClasses = {};
