--- a/relay/src/main/java/yewpath/delivery/Answers.java
+++ b/relay/src/main/java/yewpath/delivery/Answers.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import yewpath.Egress;
-import yewpath.http.Parser;
+import yewpath.http.HttpParser;
 import yewpath.json.Tokens;
 
 /** What an endpoint's answer says, in Logic's outcomes. */
@@ -12,8 +12,9 @@
     private Answers() {}
 
     /** {@code first} tells that nothing had been asked on this connection before. */
-    static int outcome(Parser answer, boolean first) {
-        if (first && answer.status() == 503 && !answer.lasting() && answer.header("Retry-After") == null) {
+    static int outcome(HttpParser answer, boolean first) {
+        if (first && answer.status() == 503 && !answer.isKeepAlive()
+            && answer.header("Retry-After") == null) {
             // Too many connections: closed at once without a word of a limit or a wait. It speaks of the table, not of the
             // limit; read as full, it took the pace away from relays that had hardly a connection.
             return Egress.UNREACHED;
@@ -50,7 +51,7 @@
     }
 
     /** Microseconds, rounded up so as never to be early; 0 where none is told. */
-    static long wait(Parser answer) {
+    static long wait(HttpParser answer) {
         String told = answer.header("Retry-After");
         if (told == null || !told.matches("[0-9]{1,9}(\\.[0-9]{1,12})?")) {
             return 0;
@@ -59,7 +60,7 @@
     }
 
     /** One value of the load report that an answer carries; not a number where it has none. */
-    static double report(Parser answer, List<String> fields, String field) {
+    static double report(HttpParser answer, List<String> fields, String field) {
         String told = answer.header("Server-Load");
         if (told == null || !told.startsWith("TEXT ") || !fields.contains(field)) {
             return Double.NaN;
--- a/relay/src/main/java/yewpath/delivery/Call.java
+++ b/relay/src/main/java/yewpath/delivery/Call.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Map;
 import yewpath.Egress;
-import yewpath.http.ServerConnection;
 import yewpath.http.CloseReason;
-import yewpath.http.Parser;
-import yewpath.http.Recognition;
+import yewpath.http.HttpParser;
+import yewpath.http.OutboundConnection;
+import yewpath.http.ResponseMatch;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** One call that is out, with one envelope or several; each hears of its own end once. */
-public final class Call implements ServerConnection.Answer {
+public final class Call implements OutboundConnection.ResponseHandler {
     /** An envelope in a call: what is sent of it, and what its end leaves to be done. */
     public interface Attempt {
         String id();
@@ -40,25 +40,25 @@
 
     private static final int HTTP_OK = 200;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final Delivery delivery;
     final int endpoint;
-    final ServerConnection connection;
+    final OutboundConnection connection;
     private final Attempt[] attempts;
-    private final Loop.Timer[] timers;
-    private final Loop.Timer[] leaveTimers;
+    private final EventLoop.Timer[] timers;
+    private final EventLoop.Timer[] leaveTimers;
     private final List<String> reportFields;
     /** What this call's answer told of the endpoint's load; none where no answer came. */
     private double left = Double.NaN;
     private double limit = Double.NaN;
     private int open;
-    private Loop.Timer restWithin;
+    private EventLoop.Timer restWithin;
     private boolean begun;
     /** What the answer to a call of several says of each message, by id. */
     private Map<String, String> states = Map.of();
 
-    Call(Loop loop, Limits limits, Delivery delivery, int endpoint, ServerConnection connection,
+    Call(EventLoop loop, Limits limits, Delivery delivery, int endpoint, OutboundConnection connection,
         List<Attempt> attempts,
         long endsAt,
         List<String> reportFields) {
@@ -69,16 +69,16 @@
         this.reportFields = reportFields;
         this.connection = connection;
         this.attempts = attempts.toArray(Attempt[]::new);
-        timers = new Loop.Timer[this.attempts.length];
-        leaveTimers = new Loop.Timer[this.attempts.length];
+        timers = new EventLoop.Timer[this.attempts.length];
+        leaveTimers = new EventLoop.Timer[this.attempts.length];
         open = this.attempts.length;
         for (int i = 0; i < timers.length; i++) {
             Attempt one = this.attempts[i];
             // An envelope sent alone may come again only once this call is over: several end together, but
             // none after its expiry.
-            timers[i] = loop.after(Math.min(endsAt, one.expiry()) - loop.now(),
+            timers[i] = loop.schedule(Math.min(endsAt, one.expiry()) - loop.nowMicros(),
                 () -> giveUp(one, Egress.TIMEOUT));
-            leaveTimers[i] = loop.after(one.leaveBy() - loop.now(), this::takeBackIfLate);
+            leaveTimers[i] = loop.schedule(one.leaveBy() - loop.nowMicros(), this::takeBackIfLate);
         }
     }
 
@@ -92,7 +92,7 @@
 
     void begin(byte[] request) {
         begun = true;
-        connection.ask(request, this);
+        connection.sendRequest(request, this);
     }
 
     List<Attempt> attempts() {
@@ -101,7 +101,7 @@
 
     /** Ends a call of which the endpoint can't have the whole. */
     void takeBack() {
-        connection.drop();
+        connection.closeWithoutNotifying();
         endAll(Egress.MOOT, 0, false);
     }
 
@@ -111,7 +111,8 @@
      */
     private boolean takeBackIfLate() {
         for (int i = 0; i < attempts.length; i++) {
-            if (timers[i] != null && loop.now() >= attempts[i].leaveBy() && !connection.isSent()) {
+            if (timers[i] != null && loop.nowMicros() >= attempts[i].leaveBy()
+                && !connection.isSendComplete()) {
                 takeBack();
                 return true;
             }
@@ -121,22 +122,23 @@
 
     /** What went wrong while it was put together or sent: it ends like any other, and its envelopes are not kept for good. */
     void fault() {
-        boolean left = connection.hasLeft();
-        connection.drop();
+        boolean left = connection.isSendStarted();
+        connection.closeWithoutNotifying();
         endAll(left ? Egress.BROKEN : Egress.MOOT, 0, false);
     }
 
     private void giveUp(Attempt one, int outcome) {
         // The answer may lie in the socket, written in time and not read yet.
-        connection.look();
+        connection.readAvailable();
         if (isOver(one)) {
             return;
         }
         if (saidDelivered()) {
-            connection.close(CloseReason.INCOMPLETE_ANSWER);
+            connection.close(CloseReason.INCOMPLETE_RESPONSE);
             return;
         }
-        if (!begun || !connection.isSent() && (outcome == Egress.CANCELLED || loop.now() >= one.expiry())) {
+        if (!begun || !connection.isSendComplete()
+            && (outcome == Egress.CANCELLED || loop.nowMicros() >= one.expiry())) {
             // Nothing of it has arrived whole: a once-only envelope is not in doubt for a connection slow to open.
             takeBack();
             return;
@@ -144,7 +146,7 @@
         boolean last = open == 1;
         if (last) {
             // Closed before anybody hears: what follows may be the same envelope on another connection.
-            connection.drop();
+            connection.closeWithoutNotifying();
         }
         end(one, outcome, 0, false);
     }
@@ -161,14 +163,14 @@
     private void end(Attempt one, int outcome, long wait, boolean over) {
         for (int i = 0; i < attempts.length; i++) {
             if (attempts[i] == one && timers[i] != null) {
-                timers[i].callOff();
-                leaveTimers[i].callOff();
+                timers[i].cancel();
+                leaveTimers[i].cancel();
                 timers[i] = null;
                 open--;
                 one.ended(outcome, wait, over, left, limit);
                 if (open == 0) {
                     if (restWithin != null) {
-                        restWithin.callOff();
+                        restWithin.cancel();
                     }
                     delivery.over(this);
                     for (Attempt each : attempts) {
@@ -186,7 +188,7 @@
     }
 
     @Override
-    public boolean leaving() {
+    public boolean beforeSend() {
         if (takeBackIfLate()) {
             return false;
         }
@@ -205,14 +207,15 @@
      * come says all there is, and the call would hold its slot until the envelope's expiry.
      */
     @Override
-    public void part(Parser answer) {
-        if (!answer.untouched()) {
+    public void onPartialResponse(HttpParser answer) {
+        if (!answer.isBeforeFirstByte()) {
             restWithin = restWithin == null
-                ? loop.after(limits.answerRest(), () -> connection.close(CloseReason.INCOMPLETE_ANSWER))
+                ? loop.schedule(limits.responseCompletionTimeoutMicros(),
+                    () -> connection.close(CloseReason.INCOMPLETE_RESPONSE))
                 : restWithin;
         } else if (restWithin != null) {
             // What began was a 1xx answer: the one that counts may be long in coming.
-            restWithin.callOff();
+            restWithin.cancel();
             restWithin = null;
         }
     }
@@ -222,50 +225,52 @@
      * ids it names, or by a body that no answer before it on this connection had.
      */
     @Override
-    public Recognition recognise(Parser answer) {
+    public ResponseMatch matchResponse(HttpParser answer) {
         if (answer.status() != HTTP_OK) {
-            return Recognition.OWN_AND_LAST;
+            return ResponseMatch.CURRENT_THEN_CLOSE;
         }
-        if (!connection.isSent()) {
-            return Recognition.UNCERTAIN;
+        if (!connection.isSendComplete()) {
+            return ResponseMatch.UNCERTAIN;
         }
         byte[] body = answer.body();
-        Recognition recognition = attempts.length == 1 ? recogniseOne(body) : recogniseSeveral(body);
-        boolean mayComeAgain = connection.history().add(body);
-        return recognition == Recognition.OWN && !mayComeAgain ? Recognition.OWN_AND_LAST : recognition;
+        ResponseMatch recognition = attempts.length == 1 ? recogniseOne(body) : recogniseSeveral(body);
+        boolean mayComeAgain = connection.responseHistory().add(body);
+        return recognition == ResponseMatch.CURRENT && !mayComeAgain ? ResponseMatch.CURRENT_THEN_CLOSE
+            : recognition;
     }
 
-    private Recognition recogniseOne(byte[] body) {
+    private ResponseMatch recogniseOne(byte[] body) {
         if (body.length == 0) {
-            return connection.isFirst() ? Recognition.OWN_AND_LAST : Recognition.UNCERTAIN;
+            return connection.isFirstRequest() ? ResponseMatch.CURRENT_THEN_CLOSE : ResponseMatch.UNCERTAIN;
         }
-        return connection.history().contains(body) ? Recognition.UNCERTAIN : Recognition.OWN;
+        return connection.responseHistory().contains(body) ? ResponseMatch.UNCERTAIN : ResponseMatch.CURRENT;
     }
 
-    private Recognition recogniseSeveral(byte[] body) {
-        if (connection.history().contains(body)) {
-            return Recognition.FOREIGN;
+    private ResponseMatch recogniseSeveral(byte[] body) {
+        if (connection.responseHistory().contains(body)) {
+            return ResponseMatch.EARLIER_REQUEST;
         }
         states = Answers.states(body);
         if (Arrays.stream(attempts).anyMatch(one -> states.containsKey(one.id()))) {
             // A message that is not over may go again, and a copy of this answer would name it.
             boolean allAreOver = Arrays.stream(attempts)
                 .allMatch(one -> Answers.isOver(states.getOrDefault(one.id(), "")));
-            return allAreOver ? Recognition.OWN : Recognition.OWN_AND_LAST;
+            return allAreOver ? ResponseMatch.CURRENT : ResponseMatch.CURRENT_THEN_CLOSE;
         }
-        if (connection.isFirst()) {
-            return Recognition.OWN_AND_LAST;
+        if (connection.isFirstRequest()) {
+            return ResponseMatch.CURRENT_THEN_CLOSE;
         }
-        return states.isEmpty() ? Recognition.UNCERTAIN : Recognition.FOREIGN;
+        return states.isEmpty() ? ResponseMatch.UNCERTAIN : ResponseMatch.EARLIER_REQUEST;
     }
 
     @Override
-    public void whole(Parser answer) {
+    public void onResponse(HttpParser answer) {
         left = Answers.report(answer, reportFields, "x0");
         limit = Answers.report(answer, reportFields, "x1");
         long wait = Answers.wait(answer);
         if (attempts.length == 1 || answer.status() != HTTP_OK) {
-            endAll(Answers.outcome(answer, connection.isFirst()), wait, Answers.isOver(answer.status()));
+            endAll(Answers.outcome(answer, connection.isFirstRequest()), wait,
+                Answers.isOver(answer.status()));
             return;
         }
         for (Attempt one : attempts) {
@@ -283,16 +288,19 @@
      * has had an answer before, the body is what tells the two apart.
      */
     private boolean saidDelivered() {
-        return attempts.length == 1 && connection.isFirst() && connection.isSent()
-            && connection.answersWith() == HTTP_OK;
+        return attempts.length == 1 && connection.isFirstRequest() && connection.isSendComplete()
+            && connection.receivedStatus() == HTTP_OK;
     }
 
     @Override
-    public void failed(boolean sent, Parser answer) {
+    public void onFailure(boolean sent, HttpParser answer) {
         if (saidDelivered()) {
             endAll(Egress.FULFILLED, 0, true);
         } else {
-            endAll(!sent ? Egress.UNREACHED : connection.isKeptInVain() ? Egress.STALE : Egress.BROKEN, 0,
+            endAll(
+                !sent ? Egress.UNREACHED
+                    : connection.isReusedWithoutResponse() ? Egress.STALE : Egress.BROKEN,
+                0,
                 false);
         }
     }
--- a/relay/src/main/java/yewpath/delivery/CallRequest.java
+++ b/relay/src/main/java/yewpath/delivery/CallRequest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import yewpath.http.Writer;
+import yewpath.http.HttpMessageBuilder;
 import yewpath.json.Tokens;
 
 /** The bytes of a call's request, for one message or for several. */
@@ -19,16 +19,17 @@
     }
 
     private static byte[] single(InetSocketAddress address, Call.Attempt one, long within) {
-        Writer head = Writer.request("POST", "/inbox", address).with("Request-Id", one.id())
-            .with("Request-Timeout", within + "u");
+        HttpMessageBuilder head = HttpMessageBuilder.request("POST", "/inbox", address)
+            .header("Request-Id", one.id())
+            .header("Request-Timeout", within + "u");
         if (one.key() != null) {
-            head.with("Affinity-Key", one.key());
+            head.header("Affinity-Key", one.key());
         }
         if (one.tag() != null) {
             // Without it an endpoint would take a second shot for another envelope.
-            head.with("Idempotency-Key", one.tag());
+            head.header("Idempotency-Key", one.tag());
         }
-        return head.done(one.body());
+        return head.build(one.body());
     }
 
     /**
@@ -52,8 +53,8 @@
             }
             out.writeEndArray();
         });
-        return Writer.request("POST", "/inbox/bulk", address)
-            .with("Request-Timeout", within + "u")
-            .with("Content-Type", "application/json").done(items);
+        return HttpMessageBuilder.request("POST", "/inbox/bulk", address)
+            .header("Request-Timeout", within + "u")
+            .header("Content-Type", "application/json").build(items);
     }
 }
--- a/relay/src/main/java/yewpath/delivery/Delivery.java
+++ b/relay/src/main/java/yewpath/delivery/Delivery.java
@@ -10,16 +10,16 @@
 import java.util.function.BooleanSupplier;
 import yewpath.events.Event;
 import yewpath.events.Log;
-import yewpath.http.ServerConnection;
 import yewpath.http.CloseReason;
+import yewpath.http.OutboundConnection;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** Calls to endpoints, and the connections kept to them. */
 public final class Delivery {
-    private record Idle(ServerConnection connection, int endpoint, long since) {}
+    private record Idle(OutboundConnection connection, int endpoint, long since) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final List<String> reportFields;
     private final BooleanSupplier writeAttempts;
@@ -34,7 +34,7 @@
      * Takes load reports from answers where they have these fields; {@code writeAttempts} writes the records of attempts that are
      * about to leave, and tells whether it could.
      */
-    public Delivery(Loop loop, Limits limits, List<String> reportFields, BooleanSupplier writeAttempts) {
+    public Delivery(EventLoop loop, Limits limits, List<String> reportFields, BooleanSupplier writeAttempts) {
         this.writeAttempts = writeAttempts;
         this.loop = loop;
         this.limits = limits;
@@ -87,7 +87,7 @@
         return out(endpoint, opened(endpoint), attempts, endsAt);
     }
 
-    private Call out(int endpoint, ServerConnection connection, List<Call.Attempt> attempts, long endsAt) {
+    private Call out(int endpoint, OutboundConnection connection, List<Call.Attempt> attempts, long endsAt) {
         Call call = new Call(loop, limits, this, endpoint, connection, attempts, endsAt, reportFields);
         callsOut.add(call);
         return call;
@@ -98,7 +98,7 @@
         if (call.isOver()) {
             return;
         }
-        long within = Math.max(1, endsAt - loop.now());
+        long within = Math.max(1, endsAt - loop.nowMicros());
         List<Call.Attempt> attempts = call.attempts();
         try {
             call.begin(CallRequest.bytes(addresses[call.endpoint], attempts, within));
@@ -111,37 +111,38 @@
     /** Calls whose connection is still to come up don't leave. */
     public void takeBackUnsent(int endpoint) {
         for (Call call : new ArrayList<>(callsOut)) {
-            if (call.endpoint == endpoint && !call.connection.hasLeft()) {
+            if (call.endpoint == endpoint && !call.connection.isSendStarted()) {
                 call.takeBack();
             }
         }
     }
 
-    private ServerConnection connection(int endpoint) {
-        List<ServerConnection> spoilt = new ArrayList<>();
+    private OutboundConnection connection(int endpoint) {
+        List<OutboundConnection> spoilt = new ArrayList<>();
         // The one used last: the others grow old and close.
         for (var newest = idle.descendingIterator(); newest.hasNext();) {
             Idle one = newest.next();
-            if (one.endpoint == endpoint && loop.now() - one.since < limits.endpointIdle()) {
+            if (one.endpoint == endpoint
+                && loop.nowMicros() - one.since < limits.endpointIdleTimeoutMicros()) {
                 newest.remove();
-                if (one.connection.isQuiet()) {
+                if (one.connection.hasNoPendingInput()) {
                     return one.connection;
                 }
                 spoilt.add(one.connection);
             }
         }
-        spoilt.forEach(connection -> connection.close(CloseReason.NOT_QUIET));
-        if (links >= limits.endpointLinks() && !idle.isEmpty()) {
-            idle.peekFirst().connection.close(CloseReason.MAKE_ROOM);
+        spoilt.forEach(connection -> connection.close(CloseReason.STALE_BEFORE_REUSE));
+        if (links >= limits.maxEndpointConnections() && !idle.isEmpty()) {
+            idle.peekFirst().connection.close(CloseReason.EVICTED);
         }
         return opened(endpoint);
     }
 
-    private ServerConnection opened(int endpoint) {
-        ServerConnection connection = new ServerConnection(loop, limits, addresses[endpoint],
-            limits.bodyMost());
+    private OutboundConnection opened(int endpoint) {
+        OutboundConnection connection = new OutboundConnection(loop, limits, addresses[endpoint],
+            limits.maxBodyBytes());
         links++;
-        connection.afterEnd(() -> {
+        connection.onClose(() -> {
             links--;
             idle.removeIf(one -> one.connection == connection);
         });
@@ -151,9 +152,9 @@
     void over(Call call) {
         callsOut.remove(call);
         if (addresses[call.endpoint] == null || !addresses[call.endpoint].equals(call.connection.address())) {
-            call.connection.close(CloseReason.MOVED);
+            call.connection.close(CloseReason.ADDRESS_NOT_IN_USE);
         } else if (!call.connection.isClosed()) {
-            idle.addLast(new Idle(call.connection, call.endpoint, loop.now()));
+            idle.addLast(new Idle(call.connection, call.endpoint, loop.nowMicros()));
             sweepLater();
         }
     }
@@ -161,14 +162,16 @@
     private void sweepLater() {
         if (!sweeping && !idle.isEmpty()) {
             sweeping = true;
-            loop.after(idle.peekFirst().since + limits.endpointIdle() - loop.now(), this::sweep);
+            loop.schedule(idle.peekFirst().since + limits.endpointIdleTimeoutMicros() - loop.nowMicros(),
+                this::sweep);
         }
     }
 
     /** Closes what the endpoint would soon close by itself, perhaps under a request. */
     private void sweep() {
         sweeping = false;
-        while (!idle.isEmpty() && idle.peekFirst().since + limits.endpointIdle() <= loop.now()) {
+        while (!idle.isEmpty()
+            && idle.peekFirst().since + limits.endpointIdleTimeoutMicros() <= loop.nowMicros()) {
             idle.peekFirst().connection.close(CloseReason.IDLE);
         }
         sweepLater();
--- a/relay/src/main/java/yewpath/directory/Watch.java
+++ b/relay/src/main/java/yewpath/directory/Watch.java
@@ -3,29 +3,30 @@
 import java.net.InetSocketAddress;
 import yewpath.events.Event;
 import yewpath.events.Log;
-import yewpath.http.ServerConnection;
 import yewpath.http.CloseReason;
-import yewpath.http.Parser;
-import yewpath.http.Writer;
+import yewpath.http.HttpMessageBuilder;
+import yewpath.http.HttpParser;
+import yewpath.http.OutboundConnection;
 import yewpath.json.Values;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** Follows discovery's list from the version known; whatever fails, the last list stays in use. */
 public final class Watch {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private InetSocketAddress discovery;
     private final Listing.Hearer hearer;
     private final Runnable failed;
     private long version;
-    private ServerConnection connection;
-    private Loop.Timer again;
+    private OutboundConnection connection;
+    private EventLoop.Timer again;
     private long backoff;
     private boolean everAnswered;
 
     /** {@code failed} hears that a watch or a fetch has ended; it may be null where nobody asks by itself. */
-    public Watch(Loop loop, Limits limits, InetSocketAddress discovery, long version, Listing.Hearer hearer,
+    public Watch(EventLoop loop, Limits limits, InetSocketAddress discovery, long version,
+        Listing.Hearer hearer,
         Runnable failed) {
         this.loop = loop;
         this.limits = limits;
@@ -38,10 +39,10 @@
     /** Opens the watch anew from the version known last. */
     public void follow() {
         if (again != null) {
-            again.callOff();
+            again.cancel();
         }
         if (connection != null) {
-            connection.drop();
+            connection.closeWithoutNotifying();
         }
         ask("/registry/instances?follow=1&since=" + version, true);
     }
@@ -65,23 +66,24 @@
     }
 
     private void ask(String target, boolean following) {
-        ServerConnection asked = new ServerConnection(loop, limits, discovery, limits.lineMost());
+        OutboundConnection asked = new OutboundConnection(loop, limits, discovery,
+            limits.maxDiscoveryLineBytes());
         connection = following ? asked : connection;
-        byte[] request = Writer.request("GET", target, discovery).done();
-        asked.ask(request, new Telling(asked, following));
+        byte[] request = HttpMessageBuilder.request("GET", target, discovery).build();
+        asked.sendRequest(request, new Telling(asked, following));
     }
 
     /** One answer of discovery, as long as it lasts. */
-    private final class Telling implements ServerConnection.Answer {
-        private final ServerConnection from;
+    private final class Telling implements OutboundConnection.ResponseHandler {
+        private final OutboundConnection from;
         private final boolean following;
         private final Values values = new Values(this::object, this::emptyLine);
-        private Loop.Timer quiet;
-        private final long askedAt = loop.now();
+        private EventLoop.Timer quiet;
+        private final long askedAt = loop.nowMicros();
         private boolean headHeard;
         private boolean answered;
 
-        Telling(ServerConnection from, boolean following) {
+        Telling(OutboundConnection from, boolean following) {
             this.from = from;
             this.following = following;
             isAlive();
@@ -93,20 +95,21 @@
          */
         private void isAlive() {
             if (quiet != null) {
-                quiet.callOff();
+                quiet.cancel();
             }
-            quiet = loop.after(limits.watchSilence(), () -> from.close(CloseReason.SILENT));
+            quiet = loop.schedule(limits.discoverySilenceTimeoutMicros(),
+                () -> from.close(CloseReason.SILENT));
         }
 
         @Override
-        public void part(Parser answer) {
-            if (!following || !answer.headKnown() || answer.status() != 200) {
+        public void onPartialResponse(HttpParser answer) {
+            if (!following || !answer.isHeadComplete() || answer.status() != 200) {
                 return;
             }
             if (!headHeard) {
                 headHeard = true;
                 isAlive();
-                loop.after(limits.answerRest(), this::nothingFollows);
+                loop.schedule(limits.responseCompletionTimeoutMicros(), this::nothingFollows);
             }
             feed(answer);
         }
@@ -125,7 +128,7 @@
         private void answers() {
             if (!answered) {
                 answered = true;
-                loop.gather(() -> {
+                loop.enqueue(() -> {
                     hearer.begins(false);
                     hearer.ends();
                 });
@@ -134,40 +137,40 @@
         }
 
         @Override
-        public void whole(Parser answer) {
-            quiet.callOff();
+        public void onResponse(HttpParser answer) {
+            quiet.cancel();
             if (answer.status() == 200) {
                 feed(answer);
                 if (values.isInside()) {
                     Log.tell(Event.DIRECTORY_GARBLED, "cut off in the middle of an object");
                 }
             }
-            from.close(CloseReason.NOT_KEPT);
+            from.close(CloseReason.NOT_REUSABLE);
             if (following || answer.status() != 200) {
                 ended(following);
             }
         }
 
         @Override
-        public void failed(boolean sent, Parser answer) {
-            quiet.callOff();
+        public void onFailure(boolean sent, HttpParser answer) {
+            quiet.cancel();
             ended(following);
         }
 
         /** What can't be understood is told again: the watch is taken up anew from the last version understood. */
-        private void feed(Parser answer) {
+        private void feed(HttpParser answer) {
             try {
-                values.feed(answer.takeBody(), limits.lineMost());
+                values.feed(answer.removeBody(), limits.maxDiscoveryLineBytes());
             } catch (IllegalArgumentException garbled) {
                 Log.tell(Event.DIRECTORY_GARBLED, garbled.getMessage());
-                from.close(CloseReason.UNREADABLE_LIST);
+                from.close(CloseReason.MALFORMED_LIST);
             }
         }
 
         private void emptyLine() {
             isAlive();
             // A watch that has lived for longer than the pause before it is no longer one that keeps failing.
-            backoff = loop.now() - askedAt > backoff ? 0 : backoff;
+            backoff = loop.nowMicros() - askedAt > backoff ? 0 : backoff;
             answers();
         }
 
@@ -175,7 +178,7 @@
             Listing list = Listing.read(bytes);
             answered = true;
             isAlive();
-            loop.gather(() -> {
+            loop.enqueue(() -> {
                 list.playTo(hearer);
                 version = list.version;
                 backoff = 0;
@@ -187,7 +190,7 @@
     /** In the round that has played what there was to tell. */
     private void hasNews() {
         if (!everAnswered) {
-            loop.gather(() -> everAnswered = true);
+            loop.enqueue(() -> everAnswered = true);
         }
     }
 
@@ -195,9 +198,10 @@
         if (failed != null) {
             failed.run();
         } else if (following) {
-            backoff = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoff));
+            backoff = Math.min(limits.maxRetryDelayMicros(),
+                Math.max(limits.initialRetryDelayMicros(), 2 * backoff));
             Log.tell(Event.DIRECTORY_LOST, backoff / 1000);
-            again = loop.after(backoff, this::follow);
+            again = loop.schedule(backoff, this::follow);
         }
     }
 }
--- a/relay/src/main/java/yewpath/http/Link.java
+++ b/relay/src/main/java/yewpath/http/BufferedConnection.java
@@ -7,31 +7,32 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /** One open connection with its two rings; whoever owns it hears that bytes came, or that it is over. */
-public final class Link {
+public final class BufferedConnection {
     /** Both are called on the I/O thread; after {@code over} nothing more comes. */
-    public interface Owner {
-        void came();
+    public interface Listener {
+        void onBytesReceived();
 
         /** {@code broken} tells an error from the other side's orderly end. */
-        void over(boolean broken);
+        void onEndOfInput(boolean broken);
     }
 
-    public final Ring in;
-    public final Ring out;
+    public final RingBuffer input;
+    public final RingBuffer output;
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
-    private Owner owner;
+    private BufferedConnection.Listener owner;
     private boolean closed;
     private boolean ended;
     private boolean endsSending;
 
     /** Reads into a ring buffer that starts at the first size and grows to the second. */
-    public Link(StreamConnection connection, int ringFirst, int ringMost, Owner owner) {
+    public BufferedConnection(StreamConnection connection, int ringFirst, int ringMost,
+        BufferedConnection.Listener owner) {
         this.connection = connection;
         this.owner = owner;
-        in = new Ring(ringFirst, ringMost);
-        out = new Ring(ringFirst, ringMost);
+        input = new RingBuffer(ringFirst, ringMost);
+        output = new RingBuffer(ringFirst, ringMost);
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
         source.setReadListener(channel -> readable());
@@ -44,7 +45,7 @@
     }
 
     /** Whether the other side has ended its sending. */
-    public boolean isEnded() {
+    public boolean isInputEnded() {
         return ended;
     }
 
@@ -53,8 +54,8 @@
         try {
             int read = 0;
             // Bounded by the ring: what doesn't fit stays in the socket and pushes back.
-            while (!closed && (read = in.fill(source)) > 0) {
-                if (in.isFull()) {
+            while (!closed && (read = input.readFrom(source)) > 0) {
+                if (input.isFull()) {
                     break;
                 }
             }
@@ -65,40 +66,40 @@
         if (closed) {
             return;
         }
-        if (ended || in.isFull()) {
+        if (ended || input.isFull()) {
             source.suspendReads();
         }
         // What came ahead of a reset counts: it may be the answer.
-        if (in.size() > 0) {
-            owner.came();
+        if (input.size() > 0) {
+            owner.onBytesReceived();
         }
         if (broken) {
             fail();
         } else if (ended && !closed) {
-            owner.over(false);
-        } else if (!closed && !in.isFull()) {
+            owner.onEndOfInput(false);
+        } else if (!closed && !input.isFull()) {
             source.resumeReads();
         }
     }
 
     /** Looks whether anything waits to be read; what does stays in the ring, and the link is not to be used on. */
-    public boolean isQuiet() {
+    public boolean hasNoPendingInput() {
         try {
-            return !closed && in.size() == 0 && in.fill(source) == 0;
+            return !closed && input.size() == 0 && input.readFrom(source) == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
     /** Takes up reading again after the owner has emptied a full ring. */
-    public void readOn() {
-        if (!closed && !ended && !in.isFull()) {
+    public void resumeReading() {
+        if (!closed && !ended && !input.isFull()) {
             source.resumeReads();
         }
     }
 
     public void write(byte[] bytes) {
-        out.put(bytes);
+        output.append(bytes);
         flush();
     }
 
@@ -107,13 +108,13 @@
             return;
         }
         try {
-            while (out.size() > 0 && out.drain(sink) > 0) {
+            while (output.size() > 0 && output.writeTo(sink) > 0) {
                 continue;
             }
-            if (out.size() == 0 && endsSending) {
+            if (output.size() == 0 && endsSending) {
                 sink.shutdownWrites();
             }
-            if (out.size() == 0 && sink.flush()) {
+            if (output.size() == 0 && sink.flush()) {
                 sink.suspendWrites();
             } else {
                 sink.resumeWrites();
@@ -123,19 +124,19 @@
         }
     }
 
-    public boolean allWritten() {
-        return out.size() == 0;
+    public boolean isAllWritten() {
+        return output.size() == 0;
     }
 
     /** Tells the other side that nothing more comes, once all that waits has been written. */
-    public void endSending() {
+    public void shutdownOutput() {
         endsSending = true;
         flush();
     }
 
     /** Reads what has come by now, without waiting to be told of it. */
-    public void look() {
-        if (!closed && !ended && !in.isFull()) {
+    public void readAvailable() {
+        if (!closed && !ended && !input.isFull()) {
             readable();
         }
     }
@@ -143,7 +144,7 @@
     private void fail() {
         if (!closed) {
             close();
-            owner.over(true);
+            owner.onEndOfInput(true);
         }
     }
 
--- a/relay/src/main/java/yewpath/http/CloseReason.java
+++ b/relay/src/main/java/yewpath/http/CloseReason.java
@@ -4,32 +4,32 @@
 public enum CloseReason {
     CONNECT_FAILED("connect failed"),
     CONNECT_TIMED_OUT("connect timed out"),
-    RESET(
+    RESET_BY_PEER(
         "reset by the peer"),
-    ENDED("ended by the peer"),
-    UNREADABLE_ANSWER(
+    CLOSED_BY_PEER("ended by the peer"),
+    MALFORMED_RESPONSE(
         "unreadable answer"),
-    UNASKED_BYTES("bytes without a request"),
-    UNMATCHED_ANSWER(
+    UNSOLICITED_BYTES("bytes without a request"),
+    AMBIGUOUS_RESPONSE(
         "answer that may be of an earlier request"),
-    NOT_KEPT(
+    NOT_REUSABLE(
         "not kept after its answer"),
-    INCOMPLETE_ANSWER("answer not whole in time"),
-    NO_ANSWER(
+    INCOMPLETE_RESPONSE("answer not whole in time"),
+    RESPONSE_TIMED_OUT(
         "no answer in time"),
-    CALL_OVER("call over"),
+    CALL_FINISHED("call over"),
     IDLE("idle"),
-    NOT_QUIET(
+    STALE_BEFORE_REUSE(
         "not quiet before use"),
-    MAKE_ROOM("room for another"),
-    MOVED(
+    EVICTED("room for another"),
+    ADDRESS_NOT_IN_USE(
         "address not in use"),
     REPLACED("replaced by a new one"),
     SILENT(
         "silent"),
-    UNREADABLE_LIST("unreadable list"),
+    MALFORMED_LIST("unreadable list"),
     REFUSED("refused, and told so"),
-    ANSWER_NOT_READ("answer not read in time"),
+    RESPONSE_NOT_READ("answer not read in time"),
     SHUTDOWN("shutdown");
 
     private final String text;
--- a/relay/src/main/java/yewpath/http/Writer.java
+++ b/relay/src/main/java/yewpath/http/HttpMessageBuilder.java
@@ -5,43 +5,43 @@
 import java.util.Arrays;
 
 /** Puts messages together; names and values come from this program or from a parsed head, never with line ends. */
-public final class Writer {
+public final class HttpMessageBuilder {
     private static final byte[] NOTHING = {};
     private final StringBuilder head = new StringBuilder();
 
-    private Writer(String first) {
+    private HttpMessageBuilder(String first) {
         head.append(first).append("\r\n");
     }
 
-    public static Writer request(String method, String target, InetSocketAddress to) {
-        return new Writer(method + ' ' + target + " HTTP/1.1").with("Host",
+    public static HttpMessageBuilder request(String method, String target, InetSocketAddress to) {
+        return new HttpMessageBuilder(method + ' ' + target + " HTTP/1.1").header("Host",
             to.getHostString() + ':' + to.getPort());
     }
 
-    public static Writer answer(int status) {
-        return new Writer("HTTP/1.1 " + status + ' ' + reason(status));
+    public static HttpMessageBuilder response(int status) {
+        return new HttpMessageBuilder("HTTP/1.1 " + status + ' ' + reason(status));
     }
 
-    public Writer with(String name, Object value) {
+    public HttpMessageBuilder header(String name, Object value) {
         head.append(name).append(": ").append(value).append("\r\n");
         return this;
     }
 
-    public byte[] done() {
+    public byte[] build() {
         head.append("\r\n");
         return head.toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
     /** Returns the message with its length and this body. */
-    public byte[] done(byte[] body) {
-        byte[] start = with("Content-Length", body.length).done();
+    public byte[] build(byte[] body) {
+        byte[] start = header("Content-Length", body.length).build();
         byte[] whole = Arrays.copyOf(start, start.length + body.length);
         System.arraycopy(body, 0, whole, start.length, body.length);
         return whole;
     }
 
-    public byte[] empty() {
-        return done(NOTHING);
+    public byte[] buildWithEmptyBody() {
+        return build(NOTHING);
     }
 
     private static String reason(int status) {
--- a/relay/src/main/java/yewpath/http/Parser.java
+++ b/relay/src/main/java/yewpath/http/HttpParser.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Reads one HTTP/1.1 message after another from a ring, as far as its bytes have come. */
-public final class Parser {
+public final class HttpParser {
     private enum Stage {
         START,
         HEADERS,
@@ -36,7 +36,7 @@
     private boolean lasting;
 
     /** Parses requests or answers whose head and body stay within these sizes. */
-    public Parser(boolean requests, int headMost, int bodyMost) {
+    public HttpParser(boolean requests, int headMost, int bodyMost) {
         this.requests = requests;
         this.headMost = headMost;
         this.bodyMost = bodyMost;
@@ -55,20 +55,20 @@
     }
 
     /** Of an answer whose first line has come, whatever follows it; 0 before. */
-    public int statusSaid() {
+    public int receivedStatus() {
         return stage == Stage.START ? 0 : status;
     }
 
     /** Whether the connection outlives this message. */
-    public boolean lasting() {
+    public boolean isKeepAlive() {
         return lasting;
     }
 
-    public boolean headKnown() {
+    public boolean isHeadComplete() {
         return stage.ordinal() > Stage.HEADERS.ordinal();
     }
 
-    public boolean untouched() {
+    public boolean isBeforeFirstByte() {
         return stage == Stage.START && headBytes == 0 && scanned == 0;
     }
 
@@ -88,7 +88,7 @@
     }
 
     /** The body as far as it has come; what was taken is not given again. */
-    public byte[] takeBody() {
+    public byte[] removeBody() {
         byte[] taken = body();
         body = bodySize > 4096 ? new byte[0] : body;
         bodySize = 0;
@@ -96,7 +96,7 @@
     }
 
     /** Forgets the message read so far, to read another on the same connection. */
-    public void next() {
+    public void startNextMessage() {
         names.clear();
         values.clear();
         stage = Stage.START;
@@ -105,7 +105,7 @@
     }
 
     /** True once the message is whole; its bytes have then left the ring. */
-    public boolean read(Ring in) throws HttpFault {
+    public boolean parse(RingBuffer in) throws HttpParseException {
         while (stage != Stage.WHOLE) {
             if (stage == Stage.FIXED || stage == Stage.CHUNK || stage == Stage.TO_END) {
                 if (!readBody(in)) {
@@ -144,29 +144,29 @@
     }
 
     /** Tells of the connection's end; true where that completes the message. */
-    public boolean ended() {
+    public boolean endOfInput() {
         stage = stage == Stage.TO_END ? Stage.WHOLE : stage;
         return stage == Stage.WHOLE;
     }
 
-    private String line(Ring in) throws HttpFault {
-        int end = in.find((byte) '\n', scanned);
+    private String line(RingBuffer in) throws HttpParseException {
+        int end = in.indexOf((byte) '\n', scanned);
         if (end < 0) {
             scanned = in.size();
             if (headBytes + scanned > headMost) {
-                throw new HttpFault(431, "head too long");
+                throw new HttpParseException(431, "head too long");
             }
             return null;
         }
         scanned = 0;
         headBytes += end + 1;
         if (headBytes > headMost) {
-            throw new HttpFault(431, "head too long");
+            throw new HttpParseException(431, "head too long");
         }
-        boolean whole = end > 0 && in.at(end - 1) == '\r';
+        boolean whole = end > 0 && in.byteAt(end - 1) == '\r';
         int length = whole ? end - 1 : end;
         byte[] line = new byte[end + 1];
-        in.take(line, 0, end + 1);
+        in.remove(line, 0, end + 1);
         // What an answer's first line says holds however badly it is written.
         if (requests || stage != Stage.START) {
             need(whole, "a line that does not end in CR LF");
@@ -177,13 +177,13 @@
         return new String(line, 0, length, StandardCharsets.ISO_8859_1);
     }
 
-    private static void need(boolean met, String otherwise) throws HttpFault {
+    private static void need(boolean met, String otherwise) throws HttpParseException {
         if (!met) {
-            throw new HttpFault(400, otherwise);
+            throw new HttpParseException(400, otherwise);
         }
     }
 
-    private void start(String line) throws HttpFault {
+    private void start(String line) throws HttpParseException {
         String[] parts = line.split(" ", requests ? -1 : 3);
         String version = requests ? parts[parts.length - 1] : parts[0];
         need(version.equals("HTTP/1.1") || version.equals("HTTP/1.0"), "not HTTP/1.1");
@@ -198,7 +198,7 @@
         }
     }
 
-    private void headerLine(String line) throws HttpFault {
+    private void headerLine(String line) throws HttpParseException {
         int colon = line.indexOf(':');
         need(colon > 0 && isToken(line.substring(0, colon)), "a bad header line");
         names.add(line.substring(0, colon));
@@ -215,7 +215,7 @@
         return !word.isEmpty();
     }
 
-    private void frame() throws HttpFault {
+    private void frame() throws HttpParseException {
         String length = null;
         String coding = null;
         for (int i = 0; i < names.size(); i++) {
@@ -249,7 +249,7 @@
         }
     }
 
-    private void chunkSize(String line) throws HttpFault {
+    private void chunkSize(String line) throws HttpParseException {
         String size = line.split(";", 2)[0].strip();
         need(size.matches("[0-9a-fA-F]{1,8}"), "a bad chunk size");
         left = Long.parseLong(size, 16);
@@ -258,13 +258,13 @@
         stage = left == 0 ? Stage.TRAILERS : Stage.CHUNK;
     }
 
-    private void tooLong(long more) throws HttpFault {
+    private void tooLong(long more) throws HttpParseException {
         if (bodySize + more > bodyMost) {
-            throw new HttpFault(413, "body too long");
+            throw new HttpParseException(413, "body too long");
         }
     }
 
-    private boolean readBody(Ring in) throws HttpFault {
+    private boolean readBody(RingBuffer in) throws HttpParseException {
         int count = (int) Math.min(left, in.size());
         tooLong(count);
         if (bodySize + count > body.length) {
@@ -272,7 +272,7 @@
             long twice = Math.min(2L * (bodySize + count), bodySize + left);
             body = Arrays.copyOf(body, (int) Math.max(twice, bodySize + count));
         }
-        in.take(body, bodySize, count);
+        in.remove(body, bodySize, count);
         bodySize += count;
         left -= count;
         if (left == 0) {
--- a/relay/src/main/java/yewpath/http/ServerConnection.java
+++ b/relay/src/main/java/yewpath/http/OutboundConnection.java
@@ -8,42 +8,42 @@
 import org.xnio.StreamConnection;
 import yewpath.events.Event;
 import yewpath.events.Log;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** This side's end of a connection to another server: one request at a time, never sent twice by itself. */
-public final class ServerConnection implements Link.Owner {
+public final class OutboundConnection implements BufferedConnection.Listener {
     /** What follows a request, exactly one of {@code whole} and {@code failed} at last. */
-    public interface Answer {
+    public interface ResponseHandler {
         /** Runs just before the first byte leaves; false where none is to leave any more, and whoever asked knows. */
-        default boolean leaving() {
+        default boolean beforeSend() {
             return true;
         }
 
         /** Some of a body has come; it may be taken out of the parser. */
-        default void part(Parser answer) {}
+        default void onPartialResponse(HttpParser answer) {}
 
         /** Tells whose an answer is that has come whole; one that is not of this request is not handed on. */
-        default Recognition recognise(Parser answer) {
-            return Recognition.OWN_AND_LAST;
+        default ResponseMatch matchResponse(HttpParser answer) {
+            return ResponseMatch.CURRENT_THEN_CLOSE;
         }
 
-        void whole(Parser answer);
+        void onResponse(HttpParser answer);
 
         /** Without an answer; {@code sent} tells whether the last byte had been written. */
-        void failed(boolean sent, Parser answer);
+        void onFailure(boolean sent, HttpParser answer);
     }
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final InetSocketAddress address;
-    private final Parser parser;
-    private final AnswerHistory history = new AnswerHistory();
+    private final HttpParser parser;
+    private final ResponseHistory history = new ResponseHistory();
     private IoFuture<StreamConnection> opening;
-    private Loop.Timer openWithin;
-    private Link link;
-    private Answer answer;
+    private EventLoop.Timer openWithin;
+    private BufferedConnection link;
+    private OutboundConnection.ResponseHandler answer;
     private byte[] request;
     private boolean closed;
     private boolean kept;
@@ -52,30 +52,30 @@
     private Runnable afterEnd = () -> {};
 
     /** Connects to the address at the first request; answers are read up to this size. */
-    public ServerConnection(Loop loop, Limits limits, InetSocketAddress address, int bodyMost) {
+    public OutboundConnection(EventLoop loop, Limits limits, InetSocketAddress address, int bodyMost) {
         this.loop = loop;
         this.limits = limits;
         this.address = address;
-        parser = new Parser(false, limits.headMost(), bodyMost);
+        parser = new HttpParser(false, limits.maxHeadBytes(), bodyMost);
     }
 
     /** To run once this connection is of no use any more, whichever side ended it. */
-    public void afterEnd(Runnable act) {
+    public void onClose(Runnable act) {
         afterEnd = act;
     }
 
     /** Sends one request and hands its answer on; one request at a time. */
-    public void ask(byte[] bytes, Answer then) {
+    public void sendRequest(byte[] bytes, OutboundConnection.ResponseHandler then) {
         request = bytes;
         left = false;
         answer = then;
-        parser.next();
+        parser.startNextMessage();
         if (link != null) {
             kept = true;
-            send();
+            writeRequest();
             return;
         }
-        openWithin = loop.after(limits.connectWithin(), () -> close(CloseReason.CONNECT_TIMED_OUT));
+        openWithin = loop.schedule(limits.connectTimeoutMicros(), () -> close(CloseReason.CONNECT_TIMED_OUT));
         opening = loop.thread().openStreamConnection(address, this::opened, OPTIONS);
         opening.addNotifier((future, none) -> {
             if (future.getStatus() == IoFuture.Status.FAILED) {
@@ -89,13 +89,13 @@
             IoUtils.safeClose(connection);
             return;
         }
-        openWithin.callOff();
-        link = new Link(connection, limits.ringFirst(), limits.ringMost(), this);
-        send();
+        openWithin.cancel();
+        link = new BufferedConnection(connection, limits.initialRingBytes(), limits.maxRingBytes(), this);
+        writeRequest();
     }
 
-    private void send() {
-        if (!answer.leaving()) {
+    private void writeRequest() {
+        if (!answer.beforeSend()) {
             return;
         }
         byte[] bytes = request;
@@ -105,102 +105,103 @@
     }
 
     /** The status that an answer's first line says, though the rest stays away or can't be read; 0 before. */
-    public int answersWith() {
-        return parser.statusSaid();
+    public int receivedStatus() {
+        return parser.receivedStatus();
     }
 
     /** Whether the request that is out went on a connection kept from an earlier one, and nothing has come since. */
-    public boolean isKeptInVain() {
-        return kept && parser.untouched();
+    public boolean isReusedWithoutResponse() {
+        return kept && parser.isBeforeFirstByte();
     }
 
     /**
      * Whether nothing has come since the last answer. Guards against what belongs to that answer, a second copy of
      * it above all, being read as the answer to the next request.
      */
-    public boolean isQuiet() {
-        return link != null && link.isQuiet();
+    public boolean hasNoPendingInput() {
+        return link != null && link.hasNoPendingInput();
     }
 
     /** Whether the request that is out, or was last, is the first on its connection. */
-    public boolean isFirst() {
+    public boolean isFirstRequest() {
         return !kept;
     }
 
     /** The answers that came on this connection. */
-    public AnswerHistory history() {
+    public ResponseHistory responseHistory() {
         return history;
     }
 
     /** Whether the first byte of the request has been written. */
-    public boolean hasLeft() {
+    public boolean isSendStarted() {
         return left;
     }
 
     /** Whether the last byte of the request has been written. */
-    public boolean isSent() {
-        return left && link.allWritten();
+    public boolean isSendComplete() {
+        return left && link.isAllWritten();
     }
 
     @Override
-    public void came() {
+    public void onBytesReceived() {
         while (answer != null && !closed) {
             boolean whole;
             try {
-                whole = parser.read(link.in);
-            } catch (HttpFault garbled) {
-                close(CloseReason.UNREADABLE_ANSWER);
+                whole = parser.parse(link.input);
+            } catch (HttpParseException garbled) {
+                close(CloseReason.MALFORMED_RESPONSE);
                 return;
             }
             if (!whole) {
-                answer.part(parser);
+                answer.onPartialResponse(parser);
                 return;
             }
             if (parser.status() >= 200) {
                 finish();
             } else {
-                parser.next();
+                parser.startNextMessage();
             }
         }
-        if (!closed && link.in.size() > 0) {
+        if (!closed && link.input.size() > 0) {
             // What they belong to cannot be told.
-            close(CloseReason.UNASKED_BYTES);
+            close(CloseReason.UNSOLICITED_BYTES);
         }
     }
 
     private void finish() {
-        switch (answer.recognise(parser)) {
-            case FOREIGN -> {
+        switch (answer.matchResponse(parser)) {
+            case EARLIER_REQUEST -> {
                 Log.tell(Event.ANSWER_FOREIGN, address, parser.status());
                 foreignSeen = true;
-                parser.next();
-                answer.part(parser);
+                parser.startNextMessage();
+                answer.onPartialResponse(parser);
             }
             case UNCERTAIN -> {
                 Log.tell(Event.ANSWER_UNCERTAIN, address, parser.status());
-                close(CloseReason.UNMATCHED_ANSWER);
+                close(CloseReason.AMBIGUOUS_RESPONSE);
             }
-            case OWN -> finish(!foreignSeen);
+            case CURRENT -> finish(!foreignSeen);
             default -> finish(false);
         }
     }
 
     private void finish(boolean keep) {
-        Answer then = answer;
+        OutboundConnection.ResponseHandler then = answer;
         answer = null;
-        boolean again = keep && parser.lasting() && link.in.size() == 0 && isSent() && !link.isEnded();
+        boolean again = keep && parser.isKeepAlive() && link.input.size() == 0 && isSendComplete()
+            && !link.isInputEnded();
         if (!again) {
-            close(CloseReason.NOT_KEPT);
+            close(CloseReason.NOT_REUSABLE);
         }
-        then.whole(parser);
+        then.onResponse(parser);
     }
 
     @Override
-    public void over(boolean broken) {
-        if (!broken && answer != null && parser.ended()) {
+    public void onEndOfInput(boolean broken) {
+        if (!broken && answer != null && parser.endOfInput()) {
             finish();
         }
-        close(broken ? CloseReason.RESET : CloseReason.ENDED);
+        close(broken ? CloseReason.RESET_BY_PEER : CloseReason.CLOSED_BY_PEER);
     }
 
     public InetSocketAddress address() {
@@ -208,9 +209,9 @@
     }
 
     /** Reads what has come by now, which may end what is asked. */
-    public void look() {
+    public void readAvailable() {
         if (link != null) {
-            link.look();
+            link.readAvailable();
         }
     }
 
@@ -223,13 +224,13 @@
         if (closed) {
             return;
         }
-        boolean sent = isSent();
+        boolean sent = isSendComplete();
         closed = true;
         if (Log.tells(Event.CONNECTION_CLOSED)) {
             Log.tell(Event.CONNECTION_CLOSED, address, reason, sent && answer != null);
         }
         if (openWithin != null) {
-            openWithin.callOff();
+            openWithin.cancel();
         }
         if (link != null) {
             link.close();
@@ -237,16 +238,16 @@
             opening.cancel();
         }
         afterEnd.run();
-        Answer then = answer;
+        OutboundConnection.ResponseHandler then = answer;
         answer = null;
         if (then != null) {
-            then.failed(sent, parser);
+            then.onFailure(sent, parser);
         }
     }
 
     /** Closes without a word to whoever waits for an answer. */
-    public void drop() {
+    public void closeWithoutNotifying() {
         answer = null;
-        close(CloseReason.CALL_OVER);
+        close(CloseReason.CALL_FINISHED);
     }
 }
--- a/relay/src/main/java/yewpath/http/AnswerHistory.java
+++ b/relay/src/main/java/yewpath/http/ResponseHistory.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** The bodies of the answers that came on one connection, by which a copy of one of them can be told. */
-public final class AnswerHistory {
+public final class ResponseHistory {
     /** A connection with more answers is closed, so that what is kept of them stays small. */
     private static final int MOST_ANSWERS = 1_000;
 
--- a/relay/src/main/java/yewpath/http/Recognition.java
+++ b/relay/src/main/java/yewpath/http/ResponseMatch.java
@@ -4,13 +4,13 @@
  * Whose an answer is. HTTP/1.1 relates answers to requests by their order alone, so a copy of an earlier answer that
  * comes late looks like the answer of the request that is out.
  */
-public enum Recognition {
+public enum ResponseMatch {
     /** Of the request that is out; the connection serves further requests. */
-    OWN,
+    CURRENT,
     /** Of the request that is out; the connection is closed, since a copy of it could not be told from another answer. */
-    OWN_AND_LAST,
+    CURRENT_THEN_CLOSE,
     /** Of an earlier request: the one that is out still waits for its own. */
-    FOREIGN,
+    EARLIER_REQUEST,
     /** It cannot be told. */
     UNCERTAIN
 }
--- a/relay/src/main/java/yewpath/http/Ring.java
+++ b/relay/src/main/java/yewpath/http/RingBuffer.java
@@ -7,7 +7,7 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /** The bytes of one direction of a connection; grows by doubling up to a bound, beyond which nothing is read. */
-public final class Ring {
+public final class RingBuffer {
     private final int first;
     private final int most;
     private byte[] bytes;
@@ -15,7 +15,7 @@
     private int size;
 
     /** Starts with room for {@code first} bytes and grows to at most {@code most}. */
-    public Ring(int first, int most) {
+    public RingBuffer(int first, int most) {
         this.first = first;
         this.most = most;
         bytes = new byte[Math.min(first, most)];
@@ -29,14 +29,14 @@
         return size >= most;
     }
 
-    public byte at(int index) {
+    public byte byteAt(int index) {
         return bytes[(head + index) % bytes.length];
     }
 
     /** Returns the index of the first such byte at or after {@code from}, or -1. */
-    public int find(byte wanted, int from) {
+    public int indexOf(byte wanted, int from) {
         for (int i = from; i < size; i++) {
-            if (at(i) == wanted) {
+            if (byteAt(i) == wanted) {
                 return i;
             }
         }
@@ -55,7 +55,7 @@
     }
 
     /** Moves this many bytes from the front into an array. */
-    public void take(byte[] into, int offset, int count) {
+    public void remove(byte[] into, int offset, int count) {
         int toEnd = Math.min(count, bytes.length - head);
         System.arraycopy(bytes, head, into, offset, toEnd);
         System.arraycopy(bytes, 0, into, offset + toEnd, count - toEnd);
@@ -63,7 +63,7 @@
     }
 
     /** Appends bytes, growing the buffer as needed. */
-    public void put(byte[] from) {
+    public void append(byte[] from) {
         reserve(size + from.length);
         int tail = (head + size) % bytes.length;
         int toEnd = Math.min(from.length, bytes.length - tail);
@@ -73,7 +73,7 @@
     }
 
     /** Returns what one read brought: 0 where nothing was there or no room is left, -1 at the end. */
-    public int fill(ConduitStreamSourceChannel from) throws IOException {
+    public int readFrom(ConduitStreamSourceChannel from) throws IOException {
         if (size == bytes.length) {
             if (isFull()) {
                 return 0;
@@ -88,7 +88,7 @@
     }
 
     /** Returns how much one write took. */
-    public int drain(ConduitStreamSinkChannel to) throws IOException {
+    public int writeTo(ConduitStreamSinkChannel to) throws IOException {
         int written = to.write(ByteBuffer.wrap(bytes, head, Math.min(size, bytes.length - head)));
         skip(written);
         return written;
--- a/relay/src/main/java/yewpath/intake/ClientConnection.java
+++ b/relay/src/main/java/yewpath/intake/ClientConnection.java
@@ -5,27 +5,27 @@
 import org.xnio.StreamConnection;
 import yewpath.events.Event;
 import yewpath.events.Log;
+import yewpath.http.BufferedConnection;
 import yewpath.http.CloseReason;
-import yewpath.http.HttpFault;
-import yewpath.http.Link;
-import yewpath.http.Parser;
-import yewpath.http.Writer;
+import yewpath.http.HttpMessageBuilder;
+import yewpath.http.HttpParseException;
+import yewpath.http.HttpParser;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** One client's connection: reads a request, waits for its answer, then reads the next. */
-final class ClientConnection implements Link.Owner {
+final class ClientConnection implements BufferedConnection.Listener {
     /** One that waits for its answer is never closed for want of room. */
     static final int NEEDED = 4;
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n"
         .getBytes(StandardCharsets.ISO_8859_1);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final MessageIntake intake;
     private final Consumer<ClientConnection> left;
-    private final Parser parser;
-    private final Link link;
+    private final HttpParser parser;
+    private final BufferedConnection link;
     private final long connectedAt;
     private long since;
     private int skipped;
@@ -34,19 +34,19 @@
     private boolean leaving;
     private boolean told;
 
-    ClientConnection(Loop loop, Limits limits, MessageIntake intake, StreamConnection connection,
+    ClientConnection(EventLoop loop, Limits limits, MessageIntake intake, StreamConnection connection,
         Consumer<ClientConnection> left) {
         this.loop = loop;
         this.limits = limits;
         this.intake = intake;
         this.left = left;
-        parser = new Parser(true, limits.headMost(), limits.bodyMost());
-        connectedAt = since = loop.now();
-        link = new Link(connection, limits.ringFirst(), limits.ringMost(), this);
+        parser = new HttpParser(true, limits.maxHeadBytes(), limits.maxBodyBytes());
+        connectedAt = since = loop.nowMicros();
+        link = new BufferedConnection(connection, limits.initialRingBytes(), limits.maxRingBytes(), this);
     }
 
     private boolean isBetween() {
-        return !answering && parser.untouched() && link.in.size() == 0;
+        return !answering && parser.isBeforeFirstByte() && link.input.size() == 0;
     }
 
     /**
@@ -61,13 +61,14 @@
             return 3;
         }
         long quiet = now - since;
-        return quiet > (asked ? limits.idleLeast() : limits.speechWithin()) ? 0 : asked ? 1 : 2;
+        return quiet > (asked ? limits.idleBeforeEvictionMicros() : limits.silenceBeforeEvictionMicros()) ? 0
+            : asked ? 1 : 2;
     }
 
     /** Whether a last look finds nothing that would make it missed more. */
     boolean restsStill(long now) {
         int before = missed(now);
-        link.look();
+        link.readAvailable();
         return link.isClosed() || missed(now) == before;
     }
 
@@ -77,15 +78,16 @@
 
     void checkTime(long now) {
         long waited = now - since;
-        if (leaving && waited > limits.lingerFor()) {
+        if (leaving && waited > limits.lingerMicros()) {
             close(CloseReason.REFUSED);
-        } else if (!link.allWritten() && waited > limits.requestWithin()) {
-            close(CloseReason.ANSWER_NOT_READ);
-        } else if (!leaving && isBetween() && waited > (asked ? limits.clientIdle() : limits.silentFor())
+        } else if (!link.isAllWritten() && waited > limits.requestTimeoutMicros()) {
+            close(CloseReason.RESPONSE_NOT_READ);
+        } else if (!leaving && isBetween()
+            && waited > (asked ? limits.clientIdleTimeoutMicros() : limits.silentClientTimeoutMicros())
             && restsStill(now)) {
             close(CloseReason.IDLE);
         } else if (!leaving && !answering && !isBetween()
-            && now - (asked ? since : connectedAt) > limits.requestWithin()) {
+            && now - (asked ? since : connectedAt) > limits.requestTimeoutMicros()) {
             refuse(408);
         }
     }
@@ -95,10 +97,10 @@
      * knows that it was not read, and sends it once more. One that only just connected is given time to speak.
      */
     void endIfResting(long now) {
-        if (!asked && now - connectedAt < limits.speechWithin()) {
+        if (!asked && now - connectedAt < limits.silenceBeforeEvictionMicros()) {
             return;
         }
-        link.look();
+        link.readAvailable();
         if (!leaving && !link.isClosed() && isBetween()) {
             close(CloseReason.SHUTDOWN);
         }
@@ -109,7 +111,7 @@
      * answer is due has it in the next round.
      */
     void end() {
-        link.look();
+        link.readAvailable();
         if (answering || leaving || link.isClosed()) {
             return;
         }
@@ -121,47 +123,47 @@
     }
 
     @Override
-    public void came() {
+    public void onBytesReceived() {
         if (leaving) {
-            skipped += link.in.size();
-            link.in.skip(link.in.size());
-            if (skipped > limits.lingerMost()) {
+            skipped += link.input.size();
+            link.input.skip(link.input.size());
+            if (skipped > limits.maxLingerBytes()) {
                 // It had time to see its answer; reading all that some would send keeps the others waiting.
                 close(CloseReason.REFUSED);
             }
             return;
         }
         try {
-            while (!answering && !leaving && !link.isClosed() && link.in.size() > 0) {
-                since = parser.untouched() ? loop.now() : since;
-                if (!parser.read(link.in)) {
+            while (!answering && !leaving && !link.isClosed() && link.input.size() > 0) {
+                since = parser.isBeforeFirstByte() ? loop.nowMicros() : since;
+                if (!parser.parse(link.input)) {
                     sayContinue();
                     return;
                 }
                 answering = asked = true;
-                since = loop.now();
+                since = loop.nowMicros();
                 request();
             }
-        } catch (HttpFault fault) {
+        } catch (HttpParseException fault) {
             refuse(fault.status);
         }
     }
 
     private void sayContinue() {
-        if (!told && parser.headKnown() && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
+        if (!told && parser.isHeadComplete() && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
             told = true;
             link.write(CONTINUE);
         }
     }
 
     @Override
-    public void over(boolean broken) {
-        if (!broken && leaving && !link.allWritten()) {
+    public void onEndOfInput(boolean broken) {
+        if (!broken && leaving && !link.isAllWritten()) {
             // It has ended its sending only, and may still read its answer; who doesn't is closed when its time is up.
             return;
         }
         // A client ends its connection when it waits no longer: a request whose answer is due is then void.
-        close(broken ? CloseReason.RESET : CloseReason.ENDED);
+        close(broken ? CloseReason.RESET_BY_PEER : CloseReason.CLOSED_BY_PEER);
     }
 
     void close(CloseReason reason) {
@@ -176,12 +178,13 @@
         String path = parser.target().split("\\?", 2)[0];
         if (path.equals("/health/ready") || path.equals("/health/live") || path.equals("/stats")) {
             if (!parser.method().equals("GET")) {
-                answer(Writer.answer(405).with("Allow", "GET"), new byte[0]);
+                answer(HttpMessageBuilder.response(405).header("Allow", "GET"), new byte[0]);
             } else if (path.equals("/stats")) {
-                answer(Writer.answer(200).with("Content-Type", "application/json"),
+                answer(HttpMessageBuilder.response(200).header("Content-Type", "application/json"),
                     intake.figures());
             } else {
-                answer(Writer.answer(path.equals("/health/live") || intake.isReady() ? 200 : 503),
+                answer(
+                    HttpMessageBuilder.response(path.equals("/health/live") || intake.isReady() ? 200 : 503),
                     new byte[0]);
             }
             return;
@@ -190,7 +193,7 @@
         if (!intake.knows(offering)) {
             answer(404);
         } else if (!parser.method().equals("POST")) {
-            answer(Writer.answer(405).with("Allow", "POST"), new byte[0]);
+            answer(HttpMessageBuilder.response(405).header("Allow", "POST"), new byte[0]);
         } else {
             envelope(offering);
         }
@@ -200,19 +203,19 @@
         String id = parser.header("Request-Id");
         long within = Fields.micros(parser.header("Request-Timeout"));
         String destination = Fields.destination(parser.header("X-Addressing"));
-        if (id == null || id.isEmpty() || id.length() > limits.idMost() || within < 0
+        if (id == null || id.isEmpty() || id.length() > limits.maxIdLength() || within < 0
             || destination == null) {
             answer(400);
             return;
         }
         intake.handIn(id, offering, parser.header("Tenant"), parser.header("Affinity-Key"),
             parser.header("Idempotency-Key"),
-            destination, within, parser.takeBody(), new MessageIntake.Reply() {
+            destination, within, parser.removeBody(), new MessageIntake.Reply() {
                 @Override
                 public boolean with(int status, long pause) {
-                    Writer answer = Writer.answer(status);
+                    HttpMessageBuilder answer = HttpMessageBuilder.response(status);
                     if (pause > 0) {
-                        answer.with("Retry-After", Fields.seconds(pause));
+                        answer.header("Retry-After", Fields.seconds(pause));
                     }
                     answer(answer, new byte[0]);
                     return !link.isClosed();
@@ -220,48 +223,48 @@
 
                 @Override
                 public boolean clientLeft() {
-                    return link.isClosed() || link.isEnded();
+                    return link.isClosed() || link.isInputEnded();
                 }
             });
     }
 
     private void answer(int status) {
         Log.tell(Event.CLIENT_REFUSED, status);
-        answer(Writer.answer(status), new byte[0]);
+        answer(HttpMessageBuilder.response(status), new byte[0]);
     }
 
-    private void answer(Writer answer, byte[] body) {
+    private void answer(HttpMessageBuilder answer, byte[] body) {
         if (link.isClosed()) {
             return;
         }
-        boolean last = !parser.lasting() || intake.isClosing();
+        boolean last = !parser.isKeepAlive() || intake.isClosing();
         if (last) {
-            answer.with("Connection", "close");
+            answer.header("Connection", "close");
         }
-        link.write(answer.done(body));
+        link.write(answer.build(body));
         answering = told = false;
-        since = loop.now();
-        parser.next();
+        since = loop.nowMicros();
+        parser.startNextMessage();
         if (last) {
             leave();
-        } else if (link.in.size() > 0) {
-            loop.thread().execute(this::came);
+        } else if (link.input.size() > 0) {
+            loop.thread().execute(this::onBytesReceived);
         }
-        link.readOn();
+        link.resumeReading();
     }
 
     private void refuse(int status) {
         Log.tell(Event.CLIENT_REFUSED, status);
-        link.write(Writer.answer(status).with("Connection", "close").empty());
+        link.write(HttpMessageBuilder.response(status).header("Connection", "close").buildWithEmptyBody());
         leave();
     }
 
     /** Reads on for a moment: closing at once on unread bytes would take the answer back off the wire. */
     private void leave() {
         leaving = true;
-        since = loop.now();
-        link.in.skip(link.in.size());
-        link.endSending();
-        link.readOn();
+        since = loop.nowMicros();
+        link.input.skip(link.input.size());
+        link.shutdownOutput();
+        link.resumeReading();
     }
 }
--- a/relay/src/main/java/yewpath/intake/ClientListener.java
+++ b/relay/src/main/java/yewpath/intake/ClientListener.java
@@ -15,12 +15,12 @@
 import yewpath.events.Event;
 import yewpath.events.Log;
 import yewpath.http.CloseReason;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** Where clients connect; holds a bounded number of them and closes those that stay too long. */
 public final class ClientListener {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final MessageIntake intake;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -29,7 +29,7 @@
     private boolean shut;
 
     /** Hands requests to the intake; nothing is open yet. */
-    public ClientListener(Loop loop, Limits limits, MessageIntake intake) {
+    public ClientListener(EventLoop loop, Limits limits, MessageIntake intake) {
         this.loop = loop;
         this.limits = limits;
         this.intake = intake;
@@ -40,10 +40,13 @@
         worker = by;
         listener = worker.createStreamConnectionServer(at, this::accept, OptionMap.builder()
             .set(Options.REUSE_ADDRESSES, true).set(Options.TCP_NODELAY, true)
-            .set(Options.BACKLOG, limits.backlog())
+            .set(Options.BACKLOG, limits.listenBacklog())
             // Guards against a rush of connects using up all descriptors before one of them could be closed again.
-            .set(Options.CONNECTION_HIGH_WATER, limits.clientLinks() + limits.acceptAhead())
-            .set(Options.CONNECTION_LOW_WATER, limits.clientLinks() + limits.acceptAhead() / 2).getMap());
+            .set(Options.CONNECTION_HIGH_WATER,
+                limits.maxClientConnections() + limits.extraAcceptedConnections())
+            .set(Options.CONNECTION_LOW_WATER,
+                limits.maxClientConnections() + limits.extraAcceptedConnections() / 2)
+            .getMap());
         listener.resumeAccepts();
         sweep();
         return listener.getLocalAddress(InetSocketAddress.class);
@@ -60,7 +63,7 @@
     }
 
     private void enter(StreamConnection connection) {
-        if (connections.size() >= limits.clientLinks()) {
+        if (connections.size() >= limits.maxClientConnections()) {
             leastBusy();
         }
         connections.add(new ClientConnection(loop, limits, intake, connection, connections::remove));
@@ -71,11 +74,11 @@
      * is read: closed with its request unread, a client's connection is reset, and what it had handed in is lost.
      */
     private void leastBusy() {
-        long now = loop.now();
+        long now = loop.nowMicros();
         for (ClientConnection goes = leastMissed(now); goes != null; goes = leastMissed(now)) {
             if (goes.restsStill(now)) {
                 Log.tell(Event.CLIENT_EVICTED, (now - goes.quietSince()) / 1000, connections.size());
-                goes.close(CloseReason.MAKE_ROOM);
+                goes.close(CloseReason.EVICTED);
                 return;
             }
         }
@@ -98,7 +101,7 @@
 
     /** Ends the connections that rest between two requests; the others have their answer first. */
     public void endResting() {
-        long now = loop.now();
+        long now = loop.nowMicros();
         new ArrayList<>(connections).forEach(connection -> connection.endIfResting(now));
     }
 
@@ -118,9 +121,9 @@
     }
 
     private void listenNoMore() {
-        if (connections.size() >= limits.clientLinks()) {
+        if (connections.size() >= limits.maxClientConnections()) {
             // Full, it let in only some: as soon as one has left, the next.
-            loop.after(limits.sweepEvery() / 10, this::shut);
+            loop.schedule(limits.sweepIntervalMicros() / 10, this::shut);
             return;
         }
         IoUtils.safeClose(listener);
@@ -138,10 +141,10 @@
     }
 
     private void sweep() {
-        long now = loop.now();
+        long now = loop.nowMicros();
         for (ClientConnection connection : new ArrayList<>(connections)) {
             connection.checkTime(now);
         }
-        loop.after(limits.sweepEvery(), this::sweep);
+        loop.schedule(limits.sweepIntervalMicros(), this::sweep);
     }
 }
--- a/relay/src/main/java/yewpath/ledger/Ledger.java
+++ b/relay/src/main/java/yewpath/ledger/Ledger.java
@@ -240,7 +240,7 @@
 
     /** What was read so far is from an earlier process: in its time, and what was out may have run, and may yet. */
     private void takeOver(ClockReading next) {
-        long offset = clock == null ? 0 : next.offsetFrom(clock);
+        long offset = clock == null ? 0 : next.offsetMicrosFrom(clock);
         for (Entry entry : live.values()) {
             entry.shiftTimes(offset);
             entry.outIsDoubt();
--- a/relay/src/main/java/yewpath/loop/Clock.java
+++ b/relay/src/main/java/yewpath/loop/Clock.java
@@ -22,7 +22,7 @@
     }
 
     /** Microseconds of Unix time. */
-    public long now() {
+    public long nowMicros() {
         return origin + monotonicMicros();
     }
 
--- a/relay/src/main/java/yewpath/loop/ClockReading.java
+++ b/relay/src/main/java/yewpath/loop/ClockReading.java
@@ -12,7 +12,7 @@
      * Returns what to add to a Unix time of the process that took the earlier reading to have it in the time of this one.
      * Within one boot the monotonic clock tells; across boots only the wall clock is left, and time never runs back.
      */
-    public long offsetFrom(ClockReading earlier) {
+    public long offsetMicrosFrom(ClockReading earlier) {
         long passed = monotonicMicros - earlier.monotonicMicros;
         if (!bootId.equals(UNKNOWN_BOOT) && bootId.equals(earlier.bootId) && passed >= 0) {
             return unixMicros - (earlier.unixMicros + passed);
--- a/relay/src/main/java/yewpath/loop/Loop.java
+++ b/relay/src/main/java/yewpath/loop/EventLoop.java
@@ -8,7 +8,7 @@
 import yewpath.events.Log;
 
 /** One thread's rounds: what became ready is gathered, then played in one go; and what is due at a time. */
-public final class Loop {
+public final class EventLoop {
     /** Something due later, unless it is called off before. */
     public static final class Timer {
         private final long at;
@@ -21,7 +21,7 @@
             this.act = act;
         }
 
-        public void callOff() {
+        public void cancel() {
             act = null;
         }
     }
@@ -37,12 +37,12 @@
     private long wakeAt = Long.MAX_VALUE;
 
     /** Runs on this I/O thread; time starts now. */
-    public Loop(XnioIoThread thread) {
+    public EventLoop(XnioIoThread thread) {
         this(thread, new Clock());
     }
 
     /** Runs on this I/O thread, by this clock. */
-    public Loop(XnioIoThread thread, Clock clock) {
+    public EventLoop(XnioIoThread thread, Clock clock) {
         this.thread = thread;
         this.clock = clock;
     }
@@ -52,22 +52,22 @@
     }
 
     /** Microseconds of Unix time, steady within one process whatever is done to the system's clock. */
-    public long now() {
-        return clock.now();
+    public long nowMicros() {
+        return clock.nowMicros();
     }
 
-    public void eachRound(Runnable act) {
+    public void setRoundAction(Runnable act) {
         round = act;
     }
 
     /** Keeps an event for the round that follows all that is ready now. */
-    public void gather(Runnable event) {
+    public void enqueue(Runnable event) {
         gathered.add(event);
-        ask();
+        requestRound();
     }
 
     /** Asks for a round; several requests before it make one. */
-    public void ask() {
+    public void requestRound() {
         if (!roundAsked) {
             roundAsked = true;
             thread.execute(this::play);
@@ -80,14 +80,14 @@
     }
 
     /** Plays the events gathered so far; what they gather in turn waits for the next round. */
-    public void playGathered() {
+    public void runQueuedEvents() {
         for (int left = gathered.size(); left > 0; left--) {
-            safely(gathered.poll());
+            runLoggingFailures(gathered.poll());
         }
     }
 
     /** What goes wrong with one envelope or connection must not take the others along. */
-    public static void safely(Runnable act) {
+    public static void runLoggingFailures(Runnable act) {
         try {
             act.run();
         } catch (RuntimeException | Error e) {
@@ -96,8 +96,8 @@
     }
 
     /** Runs an action once after this many microseconds; a negative delay counts as none. */
-    public Timer after(long micros, Runnable act) {
-        Timer timer = new Timer(now() + Math.max(0, micros), ordered++, act);
+    public Timer schedule(long micros, Runnable act) {
+        Timer timer = new Timer(nowMicros() + Math.max(0, micros), ordered++, act);
         timers.add(timer);
         wake();
         return timer;
@@ -107,17 +107,17 @@
         if (!timers.isEmpty() && timers.peek().at < wakeAt) {
             wakeAt = timers.peek().at;
             long at = wakeAt;
-            thread.executeAfter(() -> ring(at), Math.max(0, at - now()), TimeUnit.MICROSECONDS);
+            thread.executeAfter(() -> ring(at), Math.max(0, at - nowMicros()), TimeUnit.MICROSECONDS);
         }
     }
 
     private void ring(long at) {
         wakeAt = at == wakeAt ? Long.MAX_VALUE : wakeAt;
-        long now = now();
+        long now = nowMicros();
         while (!timers.isEmpty() && (timers.peek().at <= now || timers.peek().act == null)) {
             Runnable act = timers.poll().act;
             if (act != null) {
-                safely(act);
+                runLoggingFailures(act);
             }
         }
         wake();
--- a/relay/src/main/java/yewpath/loop/Limits.java
+++ b/relay/src/main/java/yewpath/loop/Limits.java
@@ -31,11 +31,11 @@
         this.told = told;
         this.connectTimeout = connectTimeout;
         this.connectionIdle = connectionIdle;
-        fill(operator);
+        update(operator);
     }
 
     /** Sets all limits from the operator's settings and what the platform allows. */
-    public void fill(Operator o) {
+    public void update(Operator o) {
         // Left for files, the jars, the selector, the ledger, the listener and the links to discovery.
         int links = Math.max(3, (int) or("sockets", 1024) - 48);
         long heap = Runtime.getRuntime().maxMemory();
@@ -83,136 +83,136 @@
         return figure > 0 ? figure : otherwise;
     }
 
-    public int clientLinks() {
+    public int maxClientConnections() {
         return now.clientLinks;
     }
 
-    public int acceptAhead() {
+    public int extraAcceptedConnections() {
         return now.acceptAhead;
     }
 
-    public int endpointLinks() {
+    public int maxEndpointConnections() {
         return now.endpointLinks;
     }
 
-    public int backlog() {
+    public int listenBacklog() {
         return now.backlog;
     }
 
-    public int ringFirst() {
+    public int initialRingBytes() {
         return now.ringFirst;
     }
 
-    public int ringMost() {
+    public int maxRingBytes() {
         return now.ringMost;
     }
 
-    public int headMost() {
+    public int maxHeadBytes() {
         return now.headMost;
     }
 
-    public int bodyMost() {
+    public int maxBodyBytes() {
         return now.bodyMost;
     }
 
-    public int idMost() {
+    public int maxIdLength() {
         return now.idMost;
     }
 
-    public int lineMost() {
+    public int maxDiscoveryLineBytes() {
         return now.lineMost;
     }
 
-    public long ledgerLive() {
+    public long maxLiveLedgerBytes() {
         return now.ledgerLive;
     }
 
-    public long ledgerAnew() {
+    public long ledgerCompactionBytes() {
         return now.ledgerAnew;
     }
 
-    public int ledgerAside() {
+    public int ledgerReservedBytesPerMessage() {
         return now.ledgerAside;
     }
 
-    public long requestWithin() {
+    public long requestTimeoutMicros() {
         return now.requestWithin;
     }
 
-    public long clientIdle() {
+    public long clientIdleTimeoutMicros() {
         return now.clientIdle;
     }
 
-    public long silentFor() {
+    public long silentClientTimeoutMicros() {
         return now.silentFor;
     }
 
-    public long idleLeast() {
+    public long idleBeforeEvictionMicros() {
         return now.idleLeast;
     }
 
-    public long speechWithin() {
+    public long silenceBeforeEvictionMicros() {
         return now.speechWithin;
     }
 
-    public long lingerFor() {
+    public long lingerMicros() {
         return now.lingerFor;
     }
 
-    public int lingerMost() {
+    public int maxLingerBytes() {
         return now.lingerMost;
     }
 
-    public long sweepEvery() {
+    public long sweepIntervalMicros() {
         return now.sweepEvery;
     }
 
-    public long connectWithin() {
+    public long connectTimeoutMicros() {
         return now.connectWithin;
     }
 
-    public long endpointIdle() {
+    public long endpointIdleTimeoutMicros() {
         return now.endpointIdle;
     }
 
-    public long answerRest() {
+    public long responseCompletionTimeoutMicros() {
         return now.answerRest;
     }
 
-    public long watchSilence() {
+    public long discoverySilenceTimeoutMicros() {
         return now.watchSilence;
     }
 
-    public long retryFirst() {
+    public long initialRetryDelayMicros() {
         return now.retryFirst;
     }
 
-    public long retryMost() {
+    public long maxRetryDelayMicros() {
         return now.retryMost;
     }
 
-    public long noticeWithin() {
+    public long noticeTimeoutMicros() {
         return now.noticeWithin;
     }
 
-    public int noticesAtOnce() {
+    public int maxNoticesPerRequest() {
         return now.noticesAtOnce;
     }
 
-    public long drainFresh() {
+    public long shutdownNewAttemptsMicros() {
         return now.drainFresh;
     }
 
-    public long drainMost() {
+    public long maxShutdownCallWaitMicros() {
         return now.drainMost;
     }
 
     /** When a closing relay goes whatever is left: what it waits for last has its end, and the kill is not yet near. */
-    public long drainBound() {
+    public long shutdownTimeoutMicros() {
         return now.drainMost + SECOND / 5;
     }
 
-    public long drainLeast() {
+    public long minShutdownMicros() {
         return now.drainLeast;
     }
 }
--- a/relay/src/main/java/yewpath/outcome/Notices.java
+++ b/relay/src/main/java/yewpath/outcome/Notices.java
@@ -9,36 +9,36 @@
 import java.util.function.Consumer;
 import yewpath.events.Event;
 import yewpath.events.Log;
-import yewpath.http.ServerConnection;
 import yewpath.http.CloseReason;
-import yewpath.http.Parser;
-import yewpath.http.Writer;
+import yewpath.http.HttpMessageBuilder;
+import yewpath.http.HttpParser;
+import yewpath.http.OutboundConnection;
 import yewpath.json.Tokens;
 import yewpath.ledger.Entry;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** Tells the platform of envelopes that ended undelivered, again and again until it has heard. */
 public final class Notices {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private InetSocketAddress platform;
     private final Consumer<Entry> told;
     private final ArrayDeque<Entry> owed = new ArrayDeque<>();
-    private ServerConnection connection;
+    private OutboundConnection connection;
     private boolean busy;
     private int underWay;
-    private Loop.Timer pause;
+    private EventLoop.Timer pause;
     private long backoff;
     private int atOnce;
 
     /** Sends to this platform; {@code told} hears of each notice that was acknowledged. */
-    public Notices(Loop loop, Limits limits, InetSocketAddress platform, Consumer<Entry> told) {
+    public Notices(EventLoop loop, Limits limits, InetSocketAddress platform, Consumer<Entry> told) {
         this.loop = loop;
         this.limits = limits;
         this.platform = platform;
         this.told = told;
-        atOnce = limits.noticesAtOnce();
+        atOnce = limits.maxNoticesPerRequest();
     }
 
     public void add(Entry entry) {
@@ -57,7 +57,7 @@
         }
         backoff = 0;
         if (pause != null) {
-            pause.callOff();
+            pause.cancel();
             goOn();
         }
     }
@@ -84,27 +84,27 @@
         }
         underWay = batch.size();
         if (connection == null || connection.isClosed()) {
-            connection = new ServerConnection(loop, limits, platform, limits.bodyMost());
+            connection = new OutboundConnection(loop, limits, platform, limits.maxBodyBytes());
         }
-        byte[] request = Writer.request("POST", "/v1/outcomes", platform)
-            .with("Content-Type", "application/json").done(Tokens.write(out -> {
+        byte[] request = HttpMessageBuilder.request("POST", "/v1/outcomes", platform)
+            .header("Content-Type", "application/json").build(Tokens.write(out -> {
                 for (Entry entry : batch) {
                     line(out, entry);
                 }
             }));
         // Longer after each failure, or a platform that is only slow would never be heard.
-        Loop.Timer within = loop.after(limits.noticeWithin() + backoff,
-            () -> connection.close(CloseReason.NO_ANSWER));
-        connection.ask(request, new ServerConnection.Answer() {
+        EventLoop.Timer within = loop.schedule(limits.noticeTimeoutMicros() + backoff,
+            () -> connection.close(CloseReason.RESPONSE_TIMED_OUT));
+        connection.sendRequest(request, new OutboundConnection.ResponseHandler() {
             @Override
-            public void whole(Parser answer) {
-                within.callOff();
+            public void onResponse(HttpParser answer) {
+                within.cancel();
                 answered(batch, answer.status());
             }
 
             @Override
-            public void failed(boolean sent, Parser answer) {
-                within.callOff();
+            public void onFailure(boolean sent, HttpParser answer) {
+                within.cancel();
                 again(batch);
             }
         });
@@ -135,7 +135,7 @@
         if (status == 400) {
             Log.tell(Event.NOTICE_REFUSED, batch.get(0).id);
         }
-        atOnce = limits.noticesAtOnce();
+        atOnce = limits.maxNoticesPerRequest();
         underWay = 0;
         busy = false;
         backoff = 0;
@@ -148,9 +148,10 @@
         for (int i = batch.size() - 1; i >= 0; i--) {
             owed.addFirst(batch.get(i));
         }
-        backoff = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoff));
+        backoff = Math.min(limits.maxRetryDelayMicros(),
+            Math.max(limits.initialRetryDelayMicros(), 2 * backoff));
         Log.tell(Event.NOTICE_UNHEARD, batch.size(), backoff / 1000);
-        pause = loop.after(backoff, this::goOn);
+        pause = loop.schedule(backoff, this::goOn);
     }
 
     private void goOn() {
--- a/relay/src/main/java/yewpath/relay/LedgerWriter.java
+++ b/relay/src/main/java/yewpath/relay/LedgerWriter.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import yewpath.ledger.Entry;
 import yewpath.ledger.Ledger;
-import yewpath.loop.Loop;
+import yewpath.loop.EventLoop;
 
 /** Writes the ledger's records, and holds back ends that could not be written down while the folder fails. */
 final class LedgerWriter {
@@ -15,43 +15,43 @@
     private static final long PAUSE_PER_ATTEMPT = 10;
     private static final long FOLDER_CHECK_EVERY = 100 * MILLISECOND;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Ledger ledger;
     private final Consumer<Entry> tell;
     private final Set<Entry> unwrittenEnds = new LinkedHashSet<>();
     private long writeAgainAt;
 
     /** {@code tell} is handed the ends that may be told. */
-    LedgerWriter(Loop loop, Ledger ledger, Consumer<Entry> tell) {
+    LedgerWriter(EventLoop loop, Ledger ledger, Consumer<Entry> tell) {
         this.loop = loop;
         this.ledger = ledger;
         this.tell = tell;
-        loop.after(FOLDER_CHECK_EVERY, this::checkFolder);
+        loop.schedule(FOLDER_CHECK_EVERY, this::checkFolder);
     }
 
     /** Whether all records are written; while the folder fails it is tried again from time to time only. */
     boolean flush() {
         boolean failedBefore = !ledger.isWritable();
-        long begun = loop.now();
+        long begun = loop.nowMicros();
         if (failedBefore && begun < writeAgainAt) {
             return false;
         }
         if (!ledger.flush()) {
-            writeAgainLater(loop.now() - begun);
+            writeAgainLater(loop.nowMicros() - begun);
             return false;
         }
         if (failedBefore) {
             unwrittenEnds.forEach(tell);
             unwrittenEnds.clear();
-            loop.ask();
+            loop.requestRound();
         }
         return true;
     }
 
     private void writeAgainLater(long attemptTook) {
         long pause = Math.max(WRITE_AGAIN_AFTER, PAUSE_PER_ATTEMPT * attemptTook);
-        writeAgainAt = loop.now() + pause;
-        loop.after(pause, loop::ask);
+        writeAgainAt = loop.nowMicros() + pause;
+        loop.schedule(pause, loop::requestRound);
     }
 
     /**
@@ -64,7 +64,7 @@
             return;
         }
         unwrittenEnds.add(entry);
-        loop.after(entry.expiry - loop.now(), () -> {
+        loop.schedule(entry.expiry - loop.nowMicros(), () -> {
             if (unwrittenEnds.remove(entry)) {
                 tell.accept(entry);
             }
@@ -74,8 +74,8 @@
     private void checkFolder() {
         ledger.checkPlace();
         if (!ledger.isWritable()) {
-            loop.ask();
+            loop.requestRound();
         }
-        loop.after(FOLDER_CHECK_EVERY, this::checkFolder);
+        loop.schedule(FOLDER_CHECK_EVERY, this::checkFolder);
     }
 }
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -16,13 +16,13 @@
 import yewpath.directory.Watch;
 import yewpath.events.Event;
 import yewpath.events.Log;
-import yewpath.intake.MessageIntake;
 import yewpath.intake.ClientListener;
+import yewpath.intake.MessageIntake;
 import yewpath.json.Tokens;
 import yewpath.ledger.Entry;
 import yewpath.ledger.Ledger;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 import yewpath.outcome.Notices;
 
 /**
@@ -46,7 +46,7 @@
         "cancelled",
         "moot", "stale"};
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Ledger ledger;
     private final LedgerWriter ledgerWriter;
     private final Boot boot;
@@ -73,7 +73,7 @@
     private long deferredEver;
     private long abortedEver;
 
-    Relay(Config config, Loop loop, Ledger ledger) {
+    Relay(Config config, EventLoop loop, Ledger ledger) {
         this.loop = loop;
         this.ledger = ledger;
         boot = config.boot;
@@ -84,7 +84,7 @@
             addUnknown(settings);
         }
         // A call that finds all connections in use would have none: what Logic may have out is what can be held.
-        settings.slots = Math.min(settings.slots, limits.endpointLinks());
+        settings.slots = Math.min(settings.slots, limits.maxEndpointConnections());
         holdLimit = settings.holdLimit > 0 ? settings.holdLimit : Integer.MAX_VALUE;
         tellsPause = settings.tellsPause;
         envelopes = new HeldMessages(settings.settleAfterDoubt);
@@ -92,18 +92,18 @@
         notices = new Notices(loop, limits, config.discovery, this::told);
         ledgerWriter = new LedgerWriter(loop, ledger, notices::add);
         delivery = new Delivery(loop, limits, boot.reportFields, ledgerWriter::flush);
-        loop.eachRound(this::round);
-        logic = new Logic(settings, config.seed, this, loop.now());
+        loop.setRoundAction(this::round);
+        logic = new Logic(settings, config.seed, this, loop.nowMicros());
         endpoints = new Endpoints(boot, logic, delivery);
         watch = new Watch(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
-            settings.listAsked ? () -> loop.gather(logic::listFailed) : null);
+            settings.listAsked ? () -> loop.enqueue(logic::listFailed) : null);
         if (!settings.listAsked) {
             watch.follow();
         }
         ledger.live().forEach(this::restore);
-        listBy = settings.listAsked ? 0 : loop.now() + limits.connectWithin();
-        loop.after(limits.connectWithin(), loop::ask);
-        loop.ask();
+        listBy = settings.listAsked ? 0 : loop.nowMicros() + limits.connectTimeoutMicros();
+        loop.schedule(limits.connectTimeoutMicros(), loop::requestRound);
+        loop.requestRound();
     }
 
     /**
@@ -137,7 +137,7 @@
             return;
         }
         int offering = boot.offerings.find(entry.offering);
-        hand(envelopes.add(entry, loop.now()), offering < 0 ? unknownOffering : offering,
+        hand(envelopes.add(entry, loop.nowMicros()), offering < 0 ? unknownOffering : offering,
             boot.zones.of(entry.doubtZone));
         if (Log.tells(Event.ENVELOPE_RESTORED)) {
             Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.shots, entry.doubtSince >= 0);
@@ -154,18 +154,18 @@
 
     private void round() {
         rounds++;
-        long now = loop.now();
+        long now = loop.nowMicros();
         logic.at(now);
-        loop.playGathered();
+        loop.runQueuedEvents();
         boolean maySend = closing.mayShoot(now) && !listIsOld(now) && ledger.isWritable();
-        Loop.safely(() -> logic.turn(maySend));
+        EventLoop.runLoggingFailures(() -> logic.turn(maySend));
         joining.clear();
         if (!ledgerWriter.flush()) {
             refuseTaken();
         }
         answerClients();
         for (Runnable act : acts) {
-            Loop.safely(act);
+            EventLoop.runLoggingFailures(act);
         }
         acts.clear();
         ledgerWriter.flush();
@@ -179,7 +179,7 @@
                 refuse(one.entry.id, "disk", one.reply);
                 one.reply = null;
                 one.left = true;
-                loop.gather(() -> letGo(one));
+                loop.enqueue(() -> letGo(one));
             }
         }
         taken.clear();
@@ -226,8 +226,8 @@
     @Override
     public void handIn(String id, String offering, String tenant, String key, String tag, String destination,
         long within, byte[] body, Reply reply) {
-        long expiry = loop.now() + within;
-        loop.gather(() -> take(id, offering, tenant, key, tag, destination, expiry, body, reply));
+        long expiry = loop.nowMicros() + within;
+        loop.enqueue(() -> take(id, offering, tenant, key, tag, destination, expiry, body, reply));
     }
 
     private void take(String id, String offering, String tenant, String key, String tag, String destination,
@@ -252,12 +252,13 @@
         }
         // Written down at once, so that the next of the same round finds what room is left.
         ledger.taken(entry);
-        HeldMessage one = envelopes.add(entry, loop.now());
+        HeldMessage one = envelopes.add(entry, loop.nowMicros());
         one.reply = reply;
         taken.add(one);
         takenEver++;
         if (Log.tells(Event.ENVELOPE_TAKEN)) {
-            Log.tell(Event.ENVELOPE_TAKEN, id, offering, tenant, destination, (expiry - loop.now()) / 1000,
+            Log.tell(Event.ENVELOPE_TAKEN, id, offering, tenant, destination,
+                (expiry - loop.nowMicros()) / 1000,
                 body.length);
         }
         hand(one, boot.offerings.find(offering), 0);
@@ -274,7 +275,7 @@
     private void answerClients() {
         List<HeldMessage> due = List.copyOf(taken);
         taken.clear();
-        due.forEach(one -> Loop.safely(() -> answerClient(one)));
+        due.forEach(one -> EventLoop.runLoggingFailures(() -> answerClient(one)));
     }
 
     private void answerClient(HeldMessage one) {
@@ -283,7 +284,7 @@
         if (!one.over && !reply.with(202, 0)) {
             // It may hand the envelope in again under another id.
             one.left = true;
-            loop.gather(() -> withdraw(one));
+            loop.enqueue(() -> withdraw(one));
         }
     }
 
@@ -298,7 +299,7 @@
         if (!one.over) {
             logic.withdrawn(one.index);
             ledger.over(one.entry);
-            envelopes.end(one, loop.now());
+            envelopes.end(one, loop.nowMicros());
         }
     }
 
@@ -310,7 +311,7 @@
         one.leaveBy = leaveBy;
         one.shotsOut++;
         one.shots++;
-        long endsAt = withinMicros > 0 ? Math.min(one.entry.expiry, loop.now() + withinMicros)
+        long endsAt = withinMicros > 0 ? Math.min(one.entry.expiry, loop.nowMicros() + withinMicros)
             : one.entry.expiry;
         Sending sending = joining.get(endpoint);
         if (sending == null || sending.carried.size() >= endpoints.bundle(endpoint)) {
@@ -355,7 +356,7 @@
         private final HeldMessage one;
         private final int endpoint;
         private final int number;
-        private final long sentAt = loop.now();
+        private final long sentAt = loop.nowMicros();
 
         Shot(HeldMessage one, int endpoint) {
             this.one = one;
@@ -395,7 +396,7 @@
 
         @Override
         public void leaving() {
-            ledger.shot(one.entry, loop.now(), endpoints.zone(endpoint));
+            ledger.shot(one.entry, loop.nowMicros(), endpoints.zone(endpoint));
             if (Log.tells(Event.ENVELOPE_SHOT)) {
                 Log.tell(Event.ENVELOPE_SHOT, one.entry.id, number, endpoints.name(endpoint));
             }
@@ -403,14 +404,14 @@
 
         @Override
         public void ended(int outcome, long wait, boolean over, double left, double limit) {
-            long elapsed = loop.now() - sentAt;
+            long elapsed = loop.nowMicros() - sentAt;
             if (isOrdered(one.entry)) {
                 keyOrder.begin(one.entry.key, this);
             }
             if (wait > 0) {
                 endpoints.waitTold(endpoint);
             }
-            loop.gather(() -> settle(outcome, wait, over, elapsed, left, limit));
+            loop.enqueue(() -> settle(outcome, wait, over, elapsed, left, limit));
         }
 
         @Override
@@ -432,9 +433,9 @@
             logic.settled(one.index, over || one.over, number, endpoint, outcome, wait, elapsed, left, limit);
             one.shotsOut--;
             if (over) {
-                envelopes.end(one, loop.now());
+                envelopes.end(one, loop.nowMicros());
             }
-            envelopes.release(one, loop.now());
+            envelopes.release(one, loop.nowMicros());
         }
 
         private void tellEnd(int outcome, long wait, boolean over, long elapsed) {
@@ -498,7 +499,7 @@
         } else {
             Log.tell(Event.ENVELOPE_GIVEN_UP, one.entry.id);
         }
-        envelopes.end(one, loop.now());
+        envelopes.end(one, loop.nowMicros());
         if (one.reply != null) {
             Reply reply = one.reply;
             ledger.over(one.entry);
@@ -519,14 +520,14 @@
     private void told(Entry entry) {
         ledger.over(entry);
         keyOrder.end(entry);
-        loop.ask();
+        loop.requestRound();
     }
 
     // ---- Time and list
 
     @Override
     public void alarm(long inMicros) {
-        loop.after(inMicros, () -> loop.gather(logic::due));
+        loop.schedule(inMicros, () -> loop.enqueue(logic::due));
     }
 
     @Override
--- a/relay/src/main/java/yewpath/relay/RelayServer.java
+++ b/relay/src/main/java/yewpath/relay/RelayServer.java
@@ -15,7 +15,7 @@
 import yewpath.intake.ClientListener;
 import yewpath.ledger.Ledger;
 import yewpath.loop.Clock;
-import yewpath.loop.Loop;
+import yewpath.loop.EventLoop;
 import yewpath.operator.Catalogue;
 import yewpath.operator.Operator;
 
@@ -28,7 +28,7 @@
     private RelayServer() {}
 
     /** A relay that takes envelopes, and where it listens. */
-    public record Running(InetSocketAddress at, Loop loop, Ledger ledger) {
+    public record Running(InetSocketAddress at, EventLoop loop, Ledger ledger) {
         /** Leaves the lasting folder alone from now on, so that it can be removed. */
         public void letFolderGo() throws InterruptedException {
             CountDownLatch closed = new CountDownLatch(1);
@@ -50,7 +50,7 @@
             .createWorker(OptionMap.builder()
                 .set(Options.WORKER_NAME, "yewpath").set(Options.WORKER_IO_THREADS, 1)
                 .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
-        Loop loop = new Loop(worker.getIoThread(), clock);
+        EventLoop loop = new EventLoop(worker.getIoThread(), clock);
         CountDownLatch started = new CountDownLatch(1);
         Exception[] failure = {null};
         Relay[] relay = {null};
@@ -83,14 +83,15 @@
 
     /** Nothing is lost by waiting: what an earlier process took on cannot be delivered before it has been read. */
     private static Ledger open(Config config, Clock clock) throws IOException, InterruptedException {
-        long deadline = clock.now() + OPEN_WITHIN;
+        long deadline = clock.nowMicros() + OPEN_WITHIN;
         for (boolean isFirst = true;; isFirst = false) {
             try {
-                return new Ledger(config.state, config.limits.ledgerLive(), config.limits.ledgerAnew(),
-                    config.limits.ledgerAside(), clock.read());
+                return new Ledger(config.state, config.limits.maxLiveLedgerBytes(),
+                    config.limits.ledgerCompactionBytes(),
+                    config.limits.ledgerReservedBytesPerMessage(), clock.read());
             } catch (IOException e) {
                 boolean isNoFolder = Files.exists(config.state) && !Files.isDirectory(config.state);
-                if (isNoFolder || clock.now() >= deadline) {
+                if (isNoFolder || clock.nowMicros() >= deadline) {
                     throw new IOException(
                         "the lasting folder " + config.state + (isNoFolder ? " is no folder" : ": " + e), e);
                 }
@@ -108,7 +109,7 @@
     }
 
     /** A new file that cannot be read, of the platform's or the operator's, leaves all as it was. */
-    private static void reload(Loop loop, Relay relay, Config started, Config[] inForce) {
+    private static void reload(EventLoop loop, Relay relay, Config started, Config[] inForce) {
         Config anew;
         try {
             anew = inForce[0].again();
@@ -120,20 +121,20 @@
         inForce[0] = anew;
         logAsTold(anew.operator);
         loop.thread().execute(() -> {
-            started.limits.fill(anew.operator);
+            started.limits.update(anew.operator);
             relay.discoveryAt(anew.discovery);
         });
         Log.tell(Event.RELAY_RELOADED, anew.discovery, old.operator.changes(anew.operator, true),
             started.operator.changes(anew.operator, false));
     }
 
-    private static void end(Loop loop, Relay relay, ClientListener listener, Config config) {
+    private static void end(EventLoop loop, Relay relay, ClientListener listener, Config config) {
         CountDownLatch gone = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
         loop.thread().execute(() -> relay.close(listener, gone));
         try {
-            long beat = config.limits.drainLeast() / 10;
-            gone.await(config.limits.drainBound() + beat, TimeUnit.MICROSECONDS);
+            long beat = config.limits.minShutdownMicros() / 10;
+            gone.await(config.limits.shutdownTimeoutMicros() + beat, TimeUnit.MICROSECONDS);
             loop.thread().execute(() -> {
                 relay.closed();
                 closed.countDown();
--- a/relay/src/main/java/yewpath/relay/Shutdown.java
+++ b/relay/src/main/java/yewpath/relay/Shutdown.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
 import yewpath.intake.ClientListener;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /**
  * The end of a relay, stage by stage. The process goes only once no client is left whose request it may have read, or
@@ -26,12 +26,12 @@
         GONE
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private Stage stage = Stage.SERVING;
     private long since;
 
-    Shutdown(Loop loop, Limits limits) {
+    Shutdown(EventLoop loop, Limits limits) {
         this.loop = loop;
         this.limits = limits;
     }
@@ -42,53 +42,53 @@
 
     /** Late in closing no shot is begun any more that could not come to its end. */
     boolean mayShoot(long now) {
-        return !hasBegun() || now - since < limits.drainFresh();
+        return !hasBegun() || now - since < limits.shutdownNewAttemptsMicros();
     }
 
     /** {@code underWay}: calls that are out, and notices that the platform is about to hear. */
     void begin(ClientListener listener, BooleanSupplier underWay, BooleanSupplier held, CountDownLatch gone) {
         if (!hasBegun()) {
             stage = Stage.REFUSING;
-            since = loop.now();
+            since = loop.nowMicros();
             watch(listener, underWay, held, gone);
         }
     }
 
     private void watch(ClientListener listener, BooleanSupplier underWay, BooleanSupplier held,
         CountDownLatch gone) {
-        long now = loop.now();
-        long beat = limits.drainLeast() / 10;
+        long now = loop.nowMicros();
+        long beat = limits.minShutdownMicros() / 10;
         long closingFor = now - since;
         if (stage != Stage.REFUSING) {
             listener.endResting();
         }
         switch (stage) {
             case REFUSING -> {
-                if (closingFor >= limits.drainLeast()) {
+                if (closingFor >= limits.minShutdownMicros()) {
                     stage = Stage.FINISHING;
                     listener.endResting();
                 }
             }
             case FINISHING -> {
                 boolean waits = underWay.getAsBoolean() || held.getAsBoolean() && mayShoot(now);
-                if (!waits || closingFor >= limits.drainMost()) {
+                if (!waits || closingFor >= limits.maxShutdownCallWaitMicros()) {
                     stage = Stage.SHUTTING;
                     listener.shut();
                 }
             }
             default -> {
                 // Ahead of the bound, so that who is refused now has read its answer by then.
-                if (closingFor >= limits.drainBound() - 3 * beat) {
+                if (closingFor >= limits.shutdownTimeoutMicros() - 3 * beat) {
                     listener.endAll();
                 }
-                if (listener.isEmpty() || closingFor >= limits.drainBound()) {
+                if (listener.isEmpty() || closingFor >= limits.shutdownTimeoutMicros()) {
                     stage = Stage.GONE;
                     gone.countDown();
                     return;
                 }
             }
         }
-        loop.ask();
-        loop.after(beat, () -> watch(listener, underWay, held, gone));
+        loop.requestRound();
+        loop.schedule(beat, () -> watch(listener, underWay, held, gone));
     }
 }
--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -26,16 +26,16 @@
 import org.xnio.XnioWorker;
 import yewpath.delivery.Call;
 import yewpath.delivery.Delivery;
-import yewpath.intake.MessageIntake;
 import yewpath.intake.ClientListener;
+import yewpath.intake.MessageIntake;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 import yewpath.operator.Operator;
 
 /** Calls and clients' visits on real connections, with the thread that serves them held still at the instant in question. */
 public final class ConnectionsTest {
     private XnioWorker worker;
-    private Loop loop;
+    private EventLoop loop;
     private Limits limits;
     private Delivery delivery;
 
@@ -43,7 +43,7 @@
     public void build() throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
             .set(Options.WORKER_TASK_CORE_THREADS, 1).getMap());
-        loop = new Loop(worker.getIoThread());
+        loop = new EventLoop(worker.getIoThread());
         limits = new Limits(name -> 0, 2_000_000, 2_000_000, Operator.STANDARD);
         delivery = new Delivery(loop, limits, List.of(), () -> true);
     }
@@ -63,8 +63,8 @@
 
         Attempt(String id, long expiresIn, long leavesIn) {
             this.id = id;
-            expiry = loop.now() + expiresIn;
-            leaveBy = loop.now() + leavesIn;
+            expiry = loop.nowMicros() + expiresIn;
+            leaveBy = loop.nowMicros() + leavesIn;
         }
 
         @Override
@@ -161,7 +161,7 @@
                 } catch (IOException e) {
                     cargo.outcomes.add(100);
                 }
-                Stand.pause(Math.max(1, (cargo.expiry - loop.now()) / 1000 + 20));
+                Stand.pause(Math.max(1, (cargo.expiry - loop.nowMicros()) / 1000 + 20));
                 held.countDown();
             });
             assertTrue(held.await(5, TimeUnit.SECONDS));
--- a/relay/src/test/java/yewpath/DeliveryTest.java
+++ b/relay/src/test/java/yewpath/DeliveryTest.java
@@ -33,8 +33,8 @@
 import org.xnio.XnioWorker;
 import yewpath.delivery.Call;
 import yewpath.delivery.Delivery;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 import yewpath.operator.Operator;
 
 /** Calls to endpoints, the list they stand in, and the notices of what was not delivered. */
@@ -184,7 +184,7 @@
     public void whatComesBehindAGoodAnswerIsNotTheNextOnes() throws Exception {
         Stand.Server endpoint = stand.endpoint(1, got -> distinctOk());
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        Loop loop = new Loop(worker.getIoThread());
+        EventLoop loop = new EventLoop(worker.getIoThread());
         Delivery delivery = new Delivery(loop, new Limits(name -> 0, 1_000_000, 2_000_000, Operator.STANDARD),
             List.of(), () -> true);
         AtomicInteger outcomes = new AtomicInteger();
@@ -192,14 +192,14 @@
             new Class<?>[]{Call.Attempt.class}, (proxy, method, args) -> switch (method.getName()) {
                 case "id" -> "q" + outcomes.get();
                 case "body" -> new byte[0];
-                case "expiry", "leaveBy" -> loop.now() + 5_000_000;
+                case "expiry", "leaveBy" -> loop.nowMicros() + 5_000_000;
                 case "ended" -> outcomes.addAndGet((int) args[0] == Egress.FULFILLED ? 1 : 100);
                 case "equals" -> proxy == args[0];
                 default -> null;
             });
         loop.thread().execute(() -> {
             delivery.place(0, new InetSocketAddress("127.0.0.1", endpoint.port()));
-            delivery.call(0, List.of(cargo), loop.now() + 5_000_000);
+            delivery.call(0, List.of(cargo), loop.nowMicros() + 5_000_000);
         });
         until("the first is delivered", 2000, () -> outcomes.get() == 1);
         loop.thread().execute(() -> {
@@ -211,7 +211,7 @@
                 outcomes.addAndGet(100);
             }
             Stand.pause(100);
-            delivery.call(0, List.of(cargo), loop.now() + 5_000_000);
+            delivery.call(0, List.of(cargo), loop.nowMicros() + 5_000_000);
         });
         until("the next is delivered", 2000, () -> outcomes.get() == 2);
         worker.shutdownNow();
--- a/relay/src/test/java/yewpath/loop/ClockReadingTest.java
+++ b/relay/src/test/java/yewpath/loop/ClockReadingTest.java
@@ -11,22 +11,22 @@
 
     @Test
     public void withinABootAStepOfTheWallClockIsTheOffset() {
-        assertEquals(new ClockReading("boot", 1_500, 2 * HOUR + 500).offsetFrom(EARLIER), 0);
-        assertEquals(new ClockReading("boot", 1_500, 3 * HOUR + 500).offsetFrom(EARLIER), HOUR);
-        assertEquals(new ClockReading("boot", 1_500, HOUR + 500).offsetFrom(EARLIER), -HOUR);
+        assertEquals(new ClockReading("boot", 1_500, 2 * HOUR + 500).offsetMicrosFrom(EARLIER), 0);
+        assertEquals(new ClockReading("boot", 1_500, 3 * HOUR + 500).offsetMicrosFrom(EARLIER), HOUR);
+        assertEquals(new ClockReading("boot", 1_500, HOUR + 500).offsetMicrosFrom(EARLIER), -HOUR);
     }
 
     @Test
     public void acrossBootsTimeDoesNotRunBack() {
-        assertEquals(new ClockReading("next", 5_000, 3 * HOUR).offsetFrom(EARLIER), 0);
-        assertEquals(new ClockReading("next", 5_000, HOUR).offsetFrom(EARLIER), -HOUR);
-        assertEquals(new ClockReading("boot", 500, HOUR).offsetFrom(EARLIER), -HOUR);
+        assertEquals(new ClockReading("next", 5_000, 3 * HOUR).offsetMicrosFrom(EARLIER), 0);
+        assertEquals(new ClockReading("next", 5_000, HOUR).offsetMicrosFrom(EARLIER), -HOUR);
+        assertEquals(new ClockReading("boot", 500, HOUR).offsetMicrosFrom(EARLIER), -HOUR);
     }
 
     @Test
     public void twoBootsThatAreNotToldAreNotOne() {
         ClockReading earlier = new ClockReading(ClockReading.UNKNOWN_BOOT, 1_000, 2 * HOUR);
         ClockReading later = new ClockReading(ClockReading.UNKNOWN_BOOT, 1_500, 3 * HOUR);
-        assertEquals(later.offsetFrom(earlier), 0);
+        assertEquals(later.offsetMicrosFrom(earlier), 0);
     }
 }
