--- a/relay/src/main/java/yewpath/http/BufferedConnection.java
+++ b/relay/src/main/java/yewpath/http/BufferedConnection.java
@@ -6,98 +6,116 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** One open connection with its two rings; whoever owns it hears that bytes came, or that it is over. */
+/**
+ * An open TCP connection with a ring buffer for each direction. A listener is notified when bytes have been received and
+ * when the input has ended. All methods must be called on the I/O thread of the connection.
+ */
 public final class BufferedConnection {
-    /** Both are called on the I/O thread; after {@code over} nothing more comes. */
+    /**
+     * Receives the events of a connection, on its I/O thread. Nothing is reported after the end of the input, except that a
+     * write may still fail after an orderly end.
+     */
     public interface Listener {
+        /** New bytes are in {@link BufferedConnection#input}. */
         void onBytesReceived();
 
-        /** {@code broken} tells an error from the other side's orderly end. */
-        void onEndOfInput(boolean broken);
+        /**
+         * The peer has ended its output, or the connection has failed. {@code failed} is true after an I/O error, which has
+         * closed the connection, and false after an orderly end, which leaves it open for writing.
+         */
+        void onEndOfInput(boolean failed);
     }
 
+    /** Received bytes that the listener has not consumed yet. */
     public final RingBuffer input;
+    /** Bytes that wait to be written to the socket. */
     public final RingBuffer output;
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
-    private BufferedConnection.Listener owner;
+    private BufferedConnection.Listener listener;
     private boolean closed;
-    private boolean ended;
-    private boolean endsSending;
+    private boolean inputEnded;
+    private boolean outputShutdownRequested;
 
-    /** Reads into a ring buffer that starts at the first size and grows to the second. */
-    public BufferedConnection(StreamConnection connection, int ringFirst, int ringMost,
-        BufferedConnection.Listener owner) {
+    /** Starts to read from the connection. Each ring buffer starts at {@code initialRingBytes}, at most {@code maxRingBytes}. */
+    public BufferedConnection(StreamConnection connection, int initialRingBytes, int maxRingBytes,
+        BufferedConnection.Listener listener) {
         this.connection = connection;
-        this.owner = owner;
-        input = new RingBuffer(ringFirst, ringMost);
-        output = new RingBuffer(ringFirst, ringMost);
+        this.listener = listener;
+        input = new RingBuffer(initialRingBytes, maxRingBytes);
+        output = new RingBuffer(initialRingBytes, maxRingBytes);
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
-        source.setReadListener(channel -> readable());
+        source.setReadListener(channel -> onReadable());
         sink.setWriteListener(channel -> flush());
         source.resumeReads();
     }
 
+    /** Returns whether this side has closed the connection, on request or after an I/O error. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Whether the other side has ended its sending. */
+    /** Returns whether the peer has ended its output. */
     public boolean isInputEnded() {
-        return ended;
+        return inputEnded;
     }
 
-    private void readable() {
-        boolean broken = false;
+    private void onReadable() {
+        boolean failed = false;
         try {
             int read = 0;
-            // Bounded by the ring: what doesn't fit stays in the socket and pushes back.
+            // The ring buffer bounds what is read. The rest stays in the socket, so that TCP flow control slows the peer.
             while (!closed && (read = input.readFrom(source)) > 0) {
                 if (input.isFull()) {
                     break;
                 }
             }
-            ended = read < 0;
-        } catch (IOException e) {
-            broken = true;
+            inputEnded = read < 0;
+        } catch (IOException exception) {
+            failed = true;
         }
         if (closed) {
             return;
         }
-        if (ended || input.isFull()) {
+        if (inputEnded || input.isFull()) {
             source.suspendReads();
         }
-        // What came ahead of a reset counts: it may be the answer.
+        // Bytes received before a reset are delivered first, because they may be the response.
         if (input.size() > 0) {
-            owner.onBytesReceived();
+            listener.onBytesReceived();
         }
-        if (broken) {
+        if (failed) {
             fail();
-        } else if (ended && !closed) {
-            owner.onEndOfInput(false);
+        } else if (inputEnded && !closed) {
+            listener.onEndOfInput(false);
         } else if (!closed && !input.isFull()) {
             source.resumeReads();
         }
     }
 
-    /** Looks whether anything waits to be read; what does stays in the ring, and the link is not to be used on. */
+    /**
+     * Returns whether the connection is open and nothing has been received that is not consumed yet. The check reads from
+     * the socket; what it reads stays in {@link #input} and is not reported, so a connection that fails the check must not
+     * be used further.
+     */
     public boolean hasNoPendingInput() {
         try {
             return !closed && input.size() == 0 && input.readFrom(source) == 0;
-        } catch (IOException e) {
+        } catch (IOException exception) {
             return false;
         }
     }
 
-    /** Takes up reading again after the owner has emptied a full ring. */
+    /** Resumes reading after the listener has consumed bytes of a full ring buffer. */
     public void resumeReading() {
-        if (!closed && !ended && !input.isFull()) {
+        if (!closed && !inputEnded && !input.isFull()) {
             source.resumeReads();
         }
     }
 
+    /** Queues bytes and writes as many as the socket accepts; the rest follows when the socket is writable. */
     public void write(byte[] bytes) {
         output.append(bytes);
         flush();
@@ -111,7 +129,7 @@
             while (output.size() > 0 && output.writeTo(sink) > 0) {
                 continue;
             }
-            if (output.size() == 0 && endsSending) {
+            if (output.size() == 0 && outputShutdownRequested) {
                 sink.shutdownWrites();
             }
             if (output.size() == 0 && sink.flush()) {
@@ -119,35 +137,37 @@
             } else {
                 sink.resumeWrites();
             }
-        } catch (IOException e) {
+        } catch (IOException exception) {
             fail();
         }
     }
 
+    /** Returns whether the socket has accepted all bytes passed to {@link #write}. */
     public boolean isAllWritten() {
         return output.size() == 0;
     }
 
-    /** Tells the other side that nothing more comes, once all that waits has been written. */
+    /** Ends the output of this side once all queued bytes have been written; the input stays open. */
     public void shutdownOutput() {
-        endsSending = true;
+        outputShutdownRequested = true;
         flush();
     }
 
-    /** Reads what has come by now, without waiting to be told of it. */
+    /** Reads what the socket holds now, without waiting for the notification of the selector. */
     public void readAvailable() {
-        if (!closed && !ended && !input.isFull()) {
-            readable();
+        if (!closed && !inputEnded && !input.isFull()) {
+            onReadable();
         }
     }
 
     private void fail() {
         if (!closed) {
             close();
-            owner.onEndOfInput(true);
+            listener.onEndOfInput(true);
         }
     }
 
+    /** Closes the connection without notifying the listener; bytes not written yet are lost. */
     public void close() {
         closed = true;
         IoUtils.safeClose(connection);
--- a/relay/src/main/java/yewpath/http/CloseReason.java
+++ b/relay/src/main/java/yewpath/http/CloseReason.java
@@ -1,46 +1,50 @@
 package yewpath.http;
 
-/** Why this side closed a connection, or found it closed. */
+/** Why a connection was closed, by this side or by the peer. */
 public enum CloseReason {
     CONNECT_FAILED("connect failed"),
     CONNECT_TIMED_OUT("connect timed out"),
-    RESET_BY_PEER(
-        "reset by the peer"),
+    RESET_BY_PEER("reset by the peer"),
     CLOSED_BY_PEER("ended by the peer"),
-    MALFORMED_RESPONSE(
-        "unreadable answer"),
+    MALFORMED_RESPONSE("unreadable answer"),
+    /** Bytes arrived while no request was outstanding. */
     UNSOLICITED_BYTES("bytes without a request"),
-    AMBIGUOUS_RESPONSE(
-        "answer that may be of an earlier request"),
-    NOT_REUSABLE(
-        "not kept after its answer"),
+    /** The response may belong to the current request or to an earlier one. */
+    AMBIGUOUS_RESPONSE("answer that may be of an earlier request"),
+    /** The response was complete, and the connection cannot or must not serve another request. */
+    NOT_REUSABLE("not kept after its answer"),
+    /** The response began and was not complete in time. */
     INCOMPLETE_RESPONSE("answer not whole in time"),
-    RESPONSE_TIMED_OUT(
-        "no answer in time"),
+    RESPONSE_TIMED_OUT("no answer in time"),
+    /** The caller needs no response any more. */
     CALL_FINISHED("call over"),
     IDLE("idle"),
-    STALE_BEFORE_REUSE(
-        "not quiet before use"),
+    /** The check before reuse found the connection closed by the peer, or found bytes on it. */
+    STALE_BEFORE_REUSE("not quiet before use"),
+    /** The number of connections was at its limit and a new one needed room. */
     EVICTED("room for another"),
-    ADDRESS_NOT_IN_USE(
-        "address not in use"),
+    /** The endpoint has moved to another address, or may not be called any more. */
+    ADDRESS_NOT_IN_USE("address not in use"),
+    /** The server was moved to another address; the connection to the new address replaces this one. */
     REPLACED("replaced by a new one"),
-    SILENT(
-        "silent"),
+    /** The discovery server sent nothing complete in time. */
+    SILENT("silent"),
     MALFORMED_LIST("unreadable list"),
+    /** The client's request was refused, and the client had time to read the response that says so. */
     REFUSED("refused, and told so"),
+    /** The client did not read the response in time. */
     RESPONSE_NOT_READ("answer not read in time"),
     SHUTDOWN("shutdown");
 
-    private final String text;
+    private final String logText;
 
-    CloseReason(String text) {
-        this.text = text;
+    CloseReason(String logText) {
+        this.logText = logText;
     }
 
-    /** As the log says it. */
+    /** Returns the text of this reason in log events. */
     @Override
     public String toString() {
-        return text;
+        return logText;
     }
 }
--- a/relay/src/main/java/yewpath/http/ResponseHistory.java
+++ b/relay/src/main/java/yewpath/http/ResponseHistory.java
@@ -4,21 +4,27 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The bodies of the answers that came on one connection, by which a copy of one of them can be told. */
+/**
+ * Hash codes of the bodies of the responses received on one connection. They show whether a response may be a duplicate
+ * of an earlier one.
+ */
 public final class ResponseHistory {
-    /** A connection with more answers is closed, so that what is kept of them stays small. */
-    private static final int MOST_ANSWERS = 1_000;
+    /** A connection that has received this many different bodies is closed, which bounds the memory for their hash codes. */
+    private static final int MAX_BODIES = 1_000;
 
-    private final Set<Integer> bodies = new HashSet<>();
+    private final Set<Integer> bodyHashCodes = new HashSet<>();
 
-    /** Whether an answer with this body has come before; seldom true of one that has not. */
+    /**
+     * Returns whether a response with this body was added before. A different body with the same hash code gives a false
+     * positive, which is rare.
+     */
     public boolean contains(byte[] body) {
-        return bodies.contains(Arrays.hashCode(body));
+        return bodyHashCodes.contains(Arrays.hashCode(body));
     }
 
-    /** Adds an answer; false where the connection has had enough of them. */
+    /** Adds the body of a response. Returns false if the connection should serve no further requests. */
     public boolean add(byte[] body) {
-        bodies.add(Arrays.hashCode(body));
-        return bodies.size() < MOST_ANSWERS;
+        bodyHashCodes.add(Arrays.hashCode(body));
+        return bodyHashCodes.size() < MAX_BODIES;
     }
 }
--- a/relay/src/main/java/yewpath/http/ResponseMatch.java
+++ b/relay/src/main/java/yewpath/http/ResponseMatch.java
@@ -1,16 +1,19 @@
 package yewpath.http;
 
 /**
- * Whose an answer is. HTTP/1.1 relates answers to requests by their order alone, so a copy of an earlier answer that
- * comes late looks like the answer of the request that is out.
+ * Tells to which request a response belongs. HTTP/1.1 matches responses to requests by their order alone, so a delayed
+ * duplicate of an earlier response looks like the response to the current request.
  */
 public enum ResponseMatch {
-    /** Of the request that is out; the connection serves further requests. */
+    /** The response belongs to the current request; the connection may serve further requests. */
     CURRENT,
-    /** Of the request that is out; the connection is closed, since a copy of it could not be told from another answer. */
+    /**
+     * The response belongs to the current request; the connection is closed, because a duplicate of this response could
+     * not be distinguished from the response to a later request.
+     */
     CURRENT_THEN_CLOSE,
-    /** Of an earlier request: the one that is out still waits for its own. */
+    /** The response belongs to an earlier request; the current request still waits for its own response. */
     EARLIER_REQUEST,
-    /** It cannot be told. */
+    /** The response cannot be matched to a request. */
     UNCERTAIN
 }
