--- a/relay/src/main/java/yewpath/http/HttpParser.java
+++ b/relay/src/main/java/yewpath/http/HttpParser.java
@@ -5,279 +5,313 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Reads one HTTP/1.1 message after another from a ring, as far as its bytes have come. */
+/**
+ * An incremental parser for HTTP/1.1 requests or responses. It consumes the bytes of a ring buffer as they arrive and
+ * parses one message at a time; {@link #startNextMessage} prepares it for the next message on the connection.
+ */
 public final class HttpParser {
+    /** The next part of the message to parse. The order matters: the stages after {@code HEADERS} have a complete head. */
     private enum Stage {
-        START,
+        START_LINE,
         HEADERS,
-        FIXED,
+        FIXED_LENGTH_BODY,
         CHUNK_SIZE,
-        CHUNK,
+        CHUNK_DATA,
         CHUNK_END,
         TRAILERS,
-        TO_END,
-        WHOLE
+        BODY_UNTIL_CLOSE,
+        COMPLETE
     }
 
-    private final boolean requests;
-    private final int headMost;
-    private final int bodyMost;
-    private final List<String> names = new ArrayList<>();
-    private final List<String> values = new ArrayList<>();
-    private Stage stage = Stage.START;
+    /** A larger body array is released once its content has been removed. */
+    private static final int MAX_RETAINED_BODY_BYTES = 4096;
+
+    private final boolean parsesRequests;
+    private final int maxHeadBytes;
+    private final int maxBodyBytes;
+    private final List<String> headerNames = new ArrayList<>();
+    private final List<String> headerValues = new ArrayList<>();
+    private Stage stage = Stage.START_LINE;
     private int headBytes;
-    private int scanned;
-    private long left;
+    private int scannedBytes;
+    private long remainingBytes;
     private byte[] body = {};
     private int bodySize;
     private String method;
     private String target;
     private int status;
-    private boolean lasting;
+    private boolean keepAlive;
 
-    /** Parses requests or answers whose head and body stay within these sizes. */
-    public HttpParser(boolean requests, int headMost, int bodyMost) {
-        this.requests = requests;
-        this.headMost = headMost;
-        this.bodyMost = bodyMost;
+    /**
+     * Creates a parser for requests or for responses.
+     *
+     * @param maxHeadBytes the largest size of a head, of the lines between two chunks of a body, and of the trailers
+     * @param maxBodyBytes the largest size of a body that has been received and not been removed yet
+     */
+    public HttpParser(boolean parsesRequests, int maxHeadBytes, int maxBodyBytes) {
+        this.parsesRequests = parsesRequests;
+        this.maxHeadBytes = maxHeadBytes;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
+    /** Returns the method of a request whose start line has been parsed. */
     public String method() {
         return method;
     }
 
+    /** Returns the target of a request whose start line has been parsed. */
     public String target() {
         return target;
     }
 
+    /** Returns the status code of a response whose start line has been parsed. */
     public int status() {
         return status;
     }
 
-    /** Of an answer whose first line has come, whatever follows it; 0 before. */
+    /** Returns the status code as soon as the status line has been parsed, even if the rest is malformed; 0 before. */
     public int receivedStatus() {
-        return stage == Stage.START ? 0 : status;
+        return stage == Stage.START_LINE ? 0 : status;
     }
 
-    /** Whether the connection outlives this message. */
+    /** Returns whether the connection can be used further after this message. */
     public boolean isKeepAlive() {
-        return lasting;
+        return keepAlive;
     }
 
+    /** Returns whether the head of the message has been parsed completely. */
     public boolean isHeadComplete() {
         return stage.ordinal() > Stage.HEADERS.ordinal();
     }
 
+    /** Returns whether the parser has seen no byte of the message. */
     public boolean isBeforeFirstByte() {
-        return stage == Stage.START && headBytes == 0 && scanned == 0;
+        return stage == Stage.START_LINE && headBytes == 0 && scannedBytes == 0;
     }
 
-    /** Returns the first value of a header, compared without regard to case, or null. */
+    /** Returns the first value of a header, or null; header names are compared without regard to case. */
     public String header(String name) {
-        for (int i = 0; i < names.size(); i++) {
-            if (names.get(i).equalsIgnoreCase(name)) {
-                return values.get(i);
+        for (int i = 0; i < headerNames.size(); i++) {
+            if (headerNames.get(i).equalsIgnoreCase(name)) {
+                return headerValues.get(i);
             }
         }
         return null;
     }
 
-    /** The body as far as it has come. */
+    /** Returns a copy of the part of the body that has been received and not been removed. */
     public byte[] body() {
         return Arrays.copyOf(body, bodySize);
     }
 
-    /** The body as far as it has come; what was taken is not given again. */
+    /** Returns the part of the body that has been received since the last call, and removes it from the parser. */
     public byte[] removeBody() {
-        byte[] taken = body();
-        body = bodySize > 4096 ? new byte[0] : body;
+        byte[] removed = body();
+        body = bodySize > MAX_RETAINED_BODY_BYTES ? new byte[0] : body;
         bodySize = 0;
-        return taken;
+        return removed;
     }
 
-    /** Forgets the message read so far, to read another on the same connection. */
+    /** Discards the current message, so that the next message on the same connection can be parsed. */
     public void startNextMessage() {
-        names.clear();
-        values.clear();
-        stage = Stage.START;
-        headBytes = scanned = bodySize = 0;
+        headerNames.clear();
+        headerValues.clear();
+        stage = Stage.START_LINE;
+        headBytes = scannedBytes = bodySize = 0;
         body = new byte[0];
     }
 
-    /** True once the message is whole; its bytes have then left the ring. */
-    public boolean parse(RingBuffer in) throws HttpParseException {
-        while (stage != Stage.WHOLE) {
-            if (stage == Stage.FIXED || stage == Stage.CHUNK || stage == Stage.TO_END) {
-                if (!readBody(in)) {
+    /**
+     * Parses as much of the message as the buffer holds, and removes the parsed bytes from the buffer.
+     *
+     * @return whether the message is complete
+     * @throws HttpParseException if the message is malformed or exceeds a size limit
+     */
+    public boolean parse(RingBuffer input) throws HttpParseException {
+        while (stage != Stage.COMPLETE) {
+            if (stage == Stage.FIXED_LENGTH_BODY || stage == Stage.CHUNK_DATA
+                || stage == Stage.BODY_UNTIL_CLOSE) {
+                if (!readBody(input)) {
                     return false;
                 }
                 continue;
             }
-            String line = line(in);
+            String line = readLine(input);
             if (line == null) {
                 return false;
             }
             switch (stage) {
-                case START -> {
-                    // A stray empty line before a request is skipped, as RFC 9112 2.2 asks for.
-                    if (!line.isEmpty() || !requests) {
-                        start(line);
+                case START_LINE -> {
+                    // An empty line before a request is skipped, as RFC 9112, section 2.2, asks for.
+                    if (!line.isEmpty() || !parsesRequests) {
+                        parseStartLine(line);
                         stage = Stage.HEADERS;
                     }
                 }
                 case HEADERS -> {
                     if (line.isEmpty()) {
-                        frame();
+                        selectBodyFraming();
                     } else {
-                        headerLine(line);
+                        parseHeader(line);
                     }
                 }
-                case CHUNK_SIZE -> chunkSize(line);
+                case CHUNK_SIZE -> parseChunkSize(line);
                 case CHUNK_END -> {
-                    need(line.isEmpty(), "a chunk longer than its size");
+                    require(line.isEmpty(), "chunk data is longer than the chunk size");
                     stage = Stage.CHUNK_SIZE;
                 }
-                default -> stage = line.isEmpty() ? Stage.WHOLE : stage;
+                default -> stage = line.isEmpty() ? Stage.COMPLETE : stage;
             }
         }
         return true;
     }
 
-    /** Tells of the connection's end; true where that completes the message. */
+    /** Handles the end of the input. Returns whether the message is complete; it may end with the connection. */
     public boolean endOfInput() {
-        stage = stage == Stage.TO_END ? Stage.WHOLE : stage;
-        return stage == Stage.WHOLE;
+        stage = stage == Stage.BODY_UNTIL_CLOSE ? Stage.COMPLETE : stage;
+        return stage == Stage.COMPLETE;
     }
 
-    private String line(RingBuffer in) throws HttpParseException {
-        int end = in.indexOf((byte) '\n', scanned);
+    /** Returns the next line without its line break, or null if it has not been received completely. */
+    private String readLine(RingBuffer input) throws HttpParseException {
+        int end = input.indexOf((byte) '\n', scannedBytes);
         if (end < 0) {
-            scanned = in.size();
-            if (headBytes + scanned > headMost) {
-                throw new HttpParseException(431, "head too long");
+            scannedBytes = input.size();
+            if (headBytes + scannedBytes > maxHeadBytes) {
+                throw new HttpParseException(431, "head exceeds the maximum size");
             }
             return null;
         }
-        scanned = 0;
+        scannedBytes = 0;
         headBytes += end + 1;
-        if (headBytes > headMost) {
-            throw new HttpParseException(431, "head too long");
+        if (headBytes > maxHeadBytes) {
+            throw new HttpParseException(431, "head exceeds the maximum size");
         }
-        boolean whole = end > 0 && in.byteAt(end - 1) == '\r';
-        int length = whole ? end - 1 : end;
+        boolean endsInCrLf = end > 0 && input.byteAt(end - 1) == '\r';
+        int length = endsInCrLf ? end - 1 : end;
         byte[] line = new byte[end + 1];
-        in.remove(line, 0, end + 1);
-        // What an answer's first line says holds however badly it is written.
-        if (requests || stage != Stage.START) {
-            need(whole, "a line that does not end in CR LF");
+        input.remove(line, 0, end + 1);
+        // The status line of a response is accepted even if it is badly formed, because the status code still counts.
+        if (parsesRequests || stage != Stage.START_LINE) {
+            require(endsInCrLf, "line does not end in CR LF");
             for (int i = 0; i < length; i++) {
-                need(line[i] >= ' ' || line[i] == '\t' || line[i] < 0, "a control character");
+                require(line[i] >= ' ' || line[i] == '\t' || line[i] < 0,
+                    "line contains a control character");
             }
         }
         return new String(line, 0, length, StandardCharsets.ISO_8859_1);
     }
 
-    private static void need(boolean met, String otherwise) throws HttpParseException {
-        if (!met) {
-            throw new HttpParseException(400, otherwise);
+    private static void require(boolean condition, String errorMessage) throws HttpParseException {
+        if (!condition) {
+            throw new HttpParseException(400, errorMessage);
         }
     }
 
-    private void start(String line) throws HttpParseException {
-        String[] parts = line.split(" ", requests ? -1 : 3);
-        String version = requests ? parts[parts.length - 1] : parts[0];
-        need(version.equals("HTTP/1.1") || version.equals("HTTP/1.0"), "not HTTP/1.1");
-        lasting = version.equals("HTTP/1.1");
-        if (requests) {
-            need(parts.length == 3 && isToken(parts[0]) && !parts[1].isEmpty(), "a bad request line");
+    private void parseStartLine(String line) throws HttpParseException {
+        String[] parts = line.split(" ", parsesRequests ? -1 : 3);
+        String version = parsesRequests ? parts[parts.length - 1] : parts[0];
+        require(version.equals("HTTP/1.1") || version.equals("HTTP/1.0"),
+            "version in the start line is neither HTTP/1.1 nor HTTP/1.0");
+        keepAlive = version.equals("HTTP/1.1");
+        if (parsesRequests) {
+            require(parts.length == 3 && isToken(parts[0]) && !parts[1].isEmpty(),
+                "request line is not \"METHOD TARGET VERSION\"");
             method = parts[0];
             target = parts[1];
         } else {
-            need(parts.length > 1 && parts[1].matches("[1-5][0-9][0-9]"), "a bad status line");
+            require(parts.length > 1 && parts[1].matches("[1-5][0-9][0-9]"),
+                "status line has no status code from 100 to 599");
             status = Integer.parseInt(parts[1]);
         }
     }
 
-    private void headerLine(String line) throws HttpParseException {
+    private void parseHeader(String line) throws HttpParseException {
         int colon = line.indexOf(':');
-        need(colon > 0 && isToken(line.substring(0, colon)), "a bad header line");
-        names.add(line.substring(0, colon));
-        values.add(line.substring(colon + 1).strip());
+        require(colon > 0 && isToken(line.substring(0, colon)),
+            "header line does not begin with a name and a colon");
+        headerNames.add(line.substring(0, colon));
+        headerValues.add(line.substring(colon + 1).strip());
     }
 
-    private static boolean isToken(String word) {
-        for (int i = 0; i < word.length(); i++) {
-            char c = word.charAt(i);
-            if (c <= ' ' || c >= 127 || "\"(),/:;<=>?@[\\]{}".indexOf(c) >= 0) {
+    /** Returns whether the text is a token as RFC 9110, section 5.6.2, defines it. */
+    private static boolean isToken(String text) {
+        for (int i = 0; i < text.length(); i++) {
+            char character = text.charAt(i);
+            if (character <= ' ' || character >= 127 || "\"(),/:;<=>?@[\\]{}".indexOf(character) >= 0) {
                 return false;
             }
         }
-        return !word.isEmpty();
+        return !text.isEmpty();
     }
 
-    private void frame() throws HttpParseException {
-        String length = null;
-        String coding = null;
-        for (int i = 0; i < names.size(); i++) {
-            String name = names.get(i);
+    /** Evaluates the headers that tell where the body ends and whether the connection stays open. */
+    private void selectBodyFraming() throws HttpParseException {
+        String contentLength = null;
+        String transferEncoding = null;
+        for (int i = 0; i < headerNames.size(); i++) {
+            String name = headerNames.get(i);
             if (name.equalsIgnoreCase("Content-Length")) {
-                need(length == null && values.get(i).matches("[0-9]{1,15}"), "an ambiguous length");
-                length = values.get(i);
+                require(contentLength == null && headerValues.get(i).matches("[0-9]{1,15}"),
+                    "Content-Length is repeated or not a number of 1 to 15 digits");
+                contentLength = headerValues.get(i);
             } else if (name.equalsIgnoreCase("Transfer-Encoding")) {
-                need(coding == null && values.get(i).equalsIgnoreCase("chunked"), "an unknown coding");
-                coding = values.get(i);
+                require(transferEncoding == null && headerValues.get(i).equalsIgnoreCase("chunked"),
+                    "Transfer-Encoding is repeated or not \"chunked\"");
+                transferEncoding = headerValues.get(i);
             } else if (name.equalsIgnoreCase("Connection")) {
-                String word = values.get(i).toLowerCase();
-                lasting = word.contains("close") ? false : lasting || word.contains("keep-alive");
+                String options = headerValues.get(i).toLowerCase();
+                keepAlive = options.contains("close") ? false : keepAlive || options.contains("keep-alive");
             }
         }
-        // Two ways of telling where a message ends let two readers disagree on it.
-        need(length == null || coding == null, "both a length and a coding");
+        // With both headers, two implementations may disagree on where the message ends (request smuggling).
+        require(contentLength == null || transferEncoding == null,
+            "both Content-Length and Transfer-Encoding are set");
         headBytes = 0;
-        if (!requests && (status < 200 || status == 204 || status == 304)) {
-            stage = Stage.WHOLE;
-        } else if (coding != null) {
+        if (!parsesRequests && (status < 200 || status == 204 || status == 304)) {
+            stage = Stage.COMPLETE;
+        } else if (transferEncoding != null) {
             stage = Stage.CHUNK_SIZE;
-        } else if (length != null || requests) {
-            left = length == null ? 0 : Long.parseLong(length);
-            tooLong(left);
-            stage = left == 0 ? Stage.WHOLE : Stage.FIXED;
+        } else if (contentLength != null || parsesRequests) {
+            remainingBytes = contentLength == null ? 0 : Long.parseLong(contentLength);
+            checkBodySize(remainingBytes);
+            stage = remainingBytes == 0 ? Stage.COMPLETE : Stage.FIXED_LENGTH_BODY;
         } else {
-            lasting = false;
-            left = Long.MAX_VALUE;
-            stage = Stage.TO_END;
+            keepAlive = false;
+            remainingBytes = Long.MAX_VALUE;
+            stage = Stage.BODY_UNTIL_CLOSE;
         }
     }
 
-    private void chunkSize(String line) throws HttpParseException {
+    private void parseChunkSize(String line) throws HttpParseException {
         String size = line.split(";", 2)[0].strip();
-        need(size.matches("[0-9a-fA-F]{1,8}"), "a bad chunk size");
-        left = Long.parseLong(size, 16);
-        tooLong(left);
+        require(size.matches("[0-9a-fA-F]{1,8}"), "chunk size is not a number of 1 to 8 hexadecimal digits");
+        remainingBytes = Long.parseLong(size, 16);
+        checkBodySize(remainingBytes);
         headBytes = 0;
-        stage = left == 0 ? Stage.TRAILERS : Stage.CHUNK;
+        stage = remainingBytes == 0 ? Stage.TRAILERS : Stage.CHUNK_DATA;
     }
 
-    private void tooLong(long more) throws HttpParseException {
-        if (bodySize + more > bodyMost) {
-            throw new HttpParseException(413, "body too long");
+    private void checkBodySize(long additionalBytes) throws HttpParseException {
+        if (bodySize + additionalBytes > maxBodyBytes) {
+            throw new HttpParseException(413, "body exceeds the maximum size");
         }
     }
 
-    private boolean readBody(RingBuffer in) throws HttpParseException {
-        int count = (int) Math.min(left, in.size());
-        tooLong(count);
+    private boolean readBody(RingBuffer input) throws HttpParseException {
+        int count = (int) Math.min(remainingBytes, input.size());
+        checkBodySize(count);
         if (bodySize + count > body.length) {
-            // Grows with what has come, not with what was announced: announcing costs the other side nothing.
-            long twice = Math.min(2L * (bodySize + count), bodySize + left);
-            body = Arrays.copyOf(body, (int) Math.max(twice, bodySize + count));
+            // Grows with the bytes received, not with the announced length: a peer can announce any length at no cost.
+            long doubled = Math.min(2L * (bodySize + count), bodySize + remainingBytes);
+            body = Arrays.copyOf(body, (int) Math.max(doubled, bodySize + count));
         }
-        in.remove(body, bodySize, count);
+        input.remove(body, bodySize, count);
         bodySize += count;
-        left -= count;
-        if (left == 0) {
-            stage = stage == Stage.CHUNK ? Stage.CHUNK_END : Stage.WHOLE;
+        remainingBytes -= count;
+        if (remainingBytes == 0) {
+            stage = stage == Stage.CHUNK_DATA ? Stage.CHUNK_END : Stage.COMPLETE;
         }
-        return left == 0;
+        return remainingBytes == 0;
     }
 }
--- a/relay/src/main/java/yewpath/http/OutboundConnection.java
+++ b/relay/src/main/java/yewpath/http/OutboundConnection.java
@@ -11,215 +11,238 @@
 import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
 
-/** This side's end of a connection to another server: one request at a time, never sent twice by itself. */
+/**
+ * A connection from this process to another HTTP server. It carries one request at a time and never repeats a request by
+ * itself. All methods must be called on the I/O thread of the event loop.
+ */
 public final class OutboundConnection implements BufferedConnection.Listener {
-    /** What follows a request, exactly one of {@code whole} and {@code failed} at last. */
+    /**
+     * Receives the events of one request. A request ends with exactly one call of {@link #onResponse} or
+     * {@link #onFailure}, unless {@link #closeWithoutNotifying} is called or {@link #beforeSend} returns false.
+     */
     public interface ResponseHandler {
-        /** Runs just before the first byte leaves; false where none is to leave any more, and whoever asked knows. */
+        /**
+         * Called just before the first byte of the request is written. Returns false if the request must not be sent any
+         * more; the handler then has to close the connection itself.
+         */
         default boolean beforeSend() {
             return true;
         }
 
-        /** Some of a body has come; it may be taken out of the parser. */
-        default void onPartialResponse(HttpParser answer) {}
+        /** A part of the response has been received; the handler may remove the received body from the parser. */
+        default void onPartialResponse(HttpParser response) {}
 
-        /** Tells whose an answer is that has come whole; one that is not of this request is not handed on. */
-        default ResponseMatch matchResponse(HttpParser answer) {
+        /** Tells to which request a complete response belongs. Only a response to the current request is passed on. */
+        default ResponseMatch matchResponse(HttpParser response) {
             return ResponseMatch.CURRENT_THEN_CLOSE;
         }
 
-        void onResponse(HttpParser answer);
+        /** The response to the request has been received completely. */
+        void onResponse(HttpParser response);
 
-        /** Without an answer; {@code sent} tells whether the last byte had been written. */
-        void onFailure(boolean sent, HttpParser answer);
+        /**
+         * The connection has ended without a complete response. {@code sent} tells whether the last byte of the request had
+         * been written; {@code response} holds what has been received of a response.
+         */
+        void onFailure(boolean sent, HttpParser response);
     }
 
-    private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
+    private static final OptionMap SOCKET_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
     private final EventLoop loop;
     private final Limits limits;
     private final InetSocketAddress address;
     private final HttpParser parser;
     private final ResponseHistory history = new ResponseHistory();
-    private IoFuture<StreamConnection> opening;
-    private EventLoop.Timer openWithin;
-    private BufferedConnection link;
-    private OutboundConnection.ResponseHandler answer;
+    private IoFuture<StreamConnection> connecting;
+    private EventLoop.Timer connectTimer;
+    private BufferedConnection connection;
+    private ResponseHandler handler;
     private byte[] request;
     private boolean closed;
-    private boolean kept;
-    private boolean left;
-    private boolean foreignSeen;
-    private Runnable afterEnd = () -> {};
+    private boolean reused;
+    private boolean sendStarted;
+    private boolean earlierResponseReceived;
+    private Runnable closeAction = () -> {};
 
-    /** Connects to the address at the first request; answers are read up to this size. */
-    public OutboundConnection(EventLoop loop, Limits limits, InetSocketAddress address, int bodyMost) {
+    /**
+     * Creates a connection that is opened by the first request.
+     *
+     * @param maxBodyBytes the largest body of a response; a longer one counts as malformed
+     */
+    public OutboundConnection(EventLoop loop, Limits limits, InetSocketAddress address, int maxBodyBytes) {
         this.loop = loop;
         this.limits = limits;
         this.address = address;
-        parser = new HttpParser(false, limits.maxHeadBytes(), bodyMost);
+        parser = new HttpParser(false, limits.maxHeadBytes(), maxBodyBytes);
     }
 
-    /** To run once this connection is of no use any more, whichever side ended it. */
-    public void onClose(Runnable act) {
-        afterEnd = act;
+    /** Sets an action to run when this connection is closed, by this side or by the peer. */
+    public void onClose(Runnable action) {
+        closeAction = action;
     }
 
-    /** Sends one request and hands its answer on; one request at a time. */
-    public void sendRequest(byte[] bytes, OutboundConnection.ResponseHandler then) {
-        request = bytes;
-        left = false;
-        answer = then;
+    /** Sends a request, and connects first if it is the first one. The previous request must have ended. */
+    public void sendRequest(byte[] requestBytes, ResponseHandler responseHandler) {
+        request = requestBytes;
+        sendStarted = false;
+        handler = responseHandler;
         parser.startNextMessage();
-        if (link != null) {
-            kept = true;
+        if (connection != null) {
+            reused = true;
             writeRequest();
             return;
         }
-        openWithin = loop.schedule(limits.connectTimeoutMicros(), () -> close(CloseReason.CONNECT_TIMED_OUT));
-        opening = loop.thread().openStreamConnection(address, this::opened, OPTIONS);
-        opening.addNotifier((future, none) -> {
+        connectTimer = loop.schedule(limits.connectTimeoutMicros(),
+            () -> close(CloseReason.CONNECT_TIMED_OUT));
+        connecting = loop.thread().openStreamConnection(address, this::onConnected, SOCKET_OPTIONS);
+        connecting.addNotifier((future, attachment) -> {
             if (future.getStatus() == IoFuture.Status.FAILED) {
                 close(CloseReason.CONNECT_FAILED);
             }
         }, null);
     }
 
-    private void opened(StreamConnection connection) {
+    private void onConnected(StreamConnection streamConnection) {
         if (closed) {
-            IoUtils.safeClose(connection);
+            IoUtils.safeClose(streamConnection);
             return;
         }
-        openWithin.cancel();
-        link = new BufferedConnection(connection, limits.initialRingBytes(), limits.maxRingBytes(), this);
+        connectTimer.cancel();
+        connection = new BufferedConnection(streamConnection, limits.initialRingBytes(),
+            limits.maxRingBytes(),
+            this);
         writeRequest();
     }
 
     private void writeRequest() {
-        if (!answer.beforeSend()) {
+        if (!handler.beforeSend()) {
             return;
         }
-        byte[] bytes = request;
+        byte[] requestBytes = request;
         request = null;
-        left = true;
-        link.write(bytes);
+        sendStarted = true;
+        connection.write(requestBytes);
     }
 
-    /** The status that an answer's first line says, though the rest stays away or can't be read; 0 before. */
+    /** Returns the status code of the response, even if the rest is missing or malformed; 0 before the status line. */
     public int receivedStatus() {
         return parser.receivedStatus();
     }
 
-    /** Whether the request that is out went on a connection kept from an earlier one, and nothing has come since. */
+    /** Returns whether the connection has served an earlier request and nothing has been received since. */
     public boolean isReusedWithoutResponse() {
-        return kept && parser.isBeforeFirstByte();
+        return reused && parser.isBeforeFirstByte();
     }
 
     /**
-     * Whether nothing has come since the last answer. Guards against what belongs to that answer, a second copy of
-     * it above all, being read as the answer to the next request.
+     * Returns whether the connection is open and nothing has been received since the last response. Guards against bytes
+     * that belong to that response, such as a duplicate of it, being read as the response to the next request.
      */
     public boolean hasNoPendingInput() {
-        return link != null && link.hasNoPendingInput();
+        return connection != null && connection.hasNoPendingInput();
     }
 
-    /** Whether the request that is out, or was last, is the first on its connection. */
+    /** Returns whether the current or last request is the first one on this connection. */
     public boolean isFirstRequest() {
-        return !kept;
+        return !reused;
     }
 
-    /** The answers that came on this connection. */
+    /** Returns the history of the responses received on this connection; the handlers add to it. */
     public ResponseHistory responseHistory() {
         return history;
     }
 
-    /** Whether the first byte of the request has been written. */
+    /** Returns whether the request has been passed to the socket, at least in part. */
     public boolean isSendStarted() {
-        return left;
+        return sendStarted;
     }
 
-    /** Whether the last byte of the request has been written. */
+    /** Returns whether the last byte of the request has been written to the socket. */
     public boolean isSendComplete() {
-        return left && link.isAllWritten();
+        return sendStarted && connection.isAllWritten();
     }
 
     @Override
     public void onBytesReceived() {
-        while (answer != null && !closed) {
-            boolean whole;
+        while (handler != null && !closed) {
+            boolean complete;
             try {
-                whole = parser.parse(link.input);
-            } catch (HttpParseException garbled) {
+                complete = parser.parse(connection.input);
+            } catch (HttpParseException malformed) {
                 close(CloseReason.MALFORMED_RESPONSE);
                 return;
             }
-            if (!whole) {
-                answer.onPartialResponse(parser);
+            if (!complete) {
+                handler.onPartialResponse(parser);
                 return;
             }
             if (parser.status() >= 200) {
-                finish();
+                handleCompleteResponse();
             } else {
                 parser.startNextMessage();
             }
         }
-        if (!closed && link.input.size() > 0) {
-            // What they belong to cannot be told.
+        if (!closed && connection.input.size() > 0) {
+            // No request is outstanding, so these bytes cannot be matched to one.
             close(CloseReason.UNSOLICITED_BYTES);
         }
     }
 
-    private void finish() {
-        switch (answer.matchResponse(parser)) {
+    private void handleCompleteResponse() {
+        switch (handler.matchResponse(parser)) {
             case EARLIER_REQUEST -> {
                 Log.tell(Event.ANSWER_FOREIGN, address, parser.status());
-                foreignSeen = true;
+                earlierResponseReceived = true;
                 parser.startNextMessage();
-                answer.onPartialResponse(parser);
+                handler.onPartialResponse(parser);
             }
             case UNCERTAIN -> {
                 Log.tell(Event.ANSWER_UNCERTAIN, address, parser.status());
                 close(CloseReason.AMBIGUOUS_RESPONSE);
             }
-            case CURRENT -> finish(!foreignSeen);
-            default -> finish(false);
+            case CURRENT -> deliverResponse(!earlierResponseReceived);
+            default -> deliverResponse(false);
         }
     }
 
-    private void finish(boolean keep) {
-        OutboundConnection.ResponseHandler then = answer;
-        answer = null;
-        boolean again = keep && parser.isKeepAlive() && link.input.size() == 0 && isSendComplete()
-            && !link.isInputEnded();
-        if (!again) {
+    private void deliverResponse(boolean mayReuse) {
+        ResponseHandler finishedHandler = handler;
+        handler = null;
+        boolean keepOpen = mayReuse && parser.isKeepAlive() && connection.input.size() == 0
+            && isSendComplete()
+            && !connection.isInputEnded();
+        if (!keepOpen) {
             close(CloseReason.NOT_REUSABLE);
         }
-        then.onResponse(parser);
+        finishedHandler.onResponse(parser);
     }
 
     @Override
-    public void onEndOfInput(boolean broken) {
-        if (!broken && answer != null && parser.endOfInput()) {
-            finish();
+    public void onEndOfInput(boolean failed) {
+        if (!failed && handler != null && parser.endOfInput()) {
+            handleCompleteResponse();
         }
-        close(broken ? CloseReason.RESET_BY_PEER : CloseReason.CLOSED_BY_PEER);
+        close(failed ? CloseReason.RESET_BY_PEER : CloseReason.CLOSED_BY_PEER);
     }
 
+    /** Returns the address of the server. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Reads what has come by now, which may end what is asked. */
+    /** Reads and handles the bytes that the socket holds now, which may end the current request. */
     public void readAvailable() {
-        if (link != null) {
-            link.readAvailable();
+        if (connection != null) {
+            connection.readAvailable();
         }
     }
 
+    /** Returns whether the connection has been closed, by this side or by the peer. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Closes the connection; a request under way ends without an answer. */
+    /** Closes the connection and reports a failure to the handler of a request that has not ended. */
     public void close(CloseReason reason) {
         if (closed) {
             return;
@@ -227,27 +250,27 @@
         boolean sent = isSendComplete();
         closed = true;
         if (Log.tells(Event.CONNECTION_CLOSED)) {
-            Log.tell(Event.CONNECTION_CLOSED, address, reason, sent && answer != null);
+            Log.tell(Event.CONNECTION_CLOSED, address, reason, sent && handler != null);
         }
-        if (openWithin != null) {
-            openWithin.cancel();
+        if (connectTimer != null) {
+            connectTimer.cancel();
         }
-        if (link != null) {
-            link.close();
-        } else if (opening != null) {
-            opening.cancel();
+        if (connection != null) {
+            connection.close();
+        } else if (connecting != null) {
+            connecting.cancel();
         }
-        afterEnd.run();
-        OutboundConnection.ResponseHandler then = answer;
-        answer = null;
-        if (then != null) {
-            then.onFailure(sent, parser);
+        closeAction.run();
+        ResponseHandler failedHandler = handler;
+        handler = null;
+        if (failedHandler != null) {
+            failedHandler.onFailure(sent, parser);
         }
     }
 
-    /** Closes without a word to whoever waits for an answer. */
+    /** Closes the connection without a call to the handler of the current request. */
     public void closeWithoutNotifying() {
-        answer = null;
+        handler = null;
         close(CloseReason.CALL_FINISHED);
     }
 }
