--- a/relay/src/main/java/yewpath/loop/Clock.java
+++ b/relay/src/main/java/yewpath/loop/Clock.java
@@ -5,37 +5,42 @@
 import java.nio.file.Path;
 import java.time.Instant;
 
-/** The time of one process: Unix time as read at its start, from then on steady whatever is done to the wall clock. */
+/**
+ * The clock of one process. It reads the wall clock once and adds the time of the monotonic clock, so later changes of the
+ * system time do not affect it.
+ */
 public final class Clock {
-    private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
+    private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-    private final long origin;
+    /** Unix time at which the monotonic clock would read 0, by the wall clock as it was at the start of the process. */
+    private final long monotonicOriginUnixMicros;
 
-    /** Reads the wall clock, once. */
+    /** Creates a clock that starts at the current wall-clock time. */
     public Clock() {
-        Instant wall = Instant.now();
-        origin = wall.getEpochSecond() * 1_000_000 + wall.getNano() / 1000 - monotonicMicros();
+        Instant wallClock = Instant.now();
+        monotonicOriginUnixMicros = wallClock.getEpochSecond() * 1_000_000 + wallClock.getNano() / 1000
+            - monotonicMicros();
     }
 
     private static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
 
-    /** Microseconds of Unix time. */
+    /** Returns the time of this clock in microseconds of Unix time. */
     public long nowMicros() {
-        return origin + monotonicMicros();
+        return monotonicOriginUnixMicros + monotonicMicros();
     }
 
-    /** Returns what another process needs to tell the time by this clock. */
+    /** Returns a reading with which another process can convert times of this clock to its own time. */
     public ClockReading read() {
         long monotonic = monotonicMicros();
-        return new ClockReading(bootId(), monotonic, origin + monotonic);
+        return new ClockReading(bootId(), monotonic, monotonicOriginUnixMicros + monotonic);
     }
 
     private static String bootId() {
         try {
-            return Files.readString(BOOT_ID).strip();
-        } catch (IOException e) {
+            return Files.readString(BOOT_ID_FILE).strip();
+        } catch (IOException exception) {
             return ClockReading.UNKNOWN_BOOT;
         }
     }
--- a/relay/src/main/java/yewpath/loop/ClockReading.java
+++ b/relay/src/main/java/yewpath/loop/ClockReading.java
@@ -1,21 +1,27 @@
 package yewpath.loop;
 
 /**
- * One moment as a process told it: by its own Unix time, and by the monotonic clock, which all processes share from one
- * boot of the machine to the next.
+ * A moment as read by one process: on its own Unix-time clock, and on the monotonic clock, which all processes share
+ * during one boot of the machine.
+ *
+ * @param bootId identifies the boot of the machine, or {@link #UNKNOWN_BOOT}
+ * @param monotonicMicros the monotonic clock in microseconds
+ * @param unixMicros the clock of the process in microseconds of Unix time
  */
 public record ClockReading(String bootId, long monotonicMicros, long unixMicros) {
-    /** The boot id where the system does not tell one; never the same boot as any other. */
+    /** The boot id if the system does not provide one; it never counts as the same boot as any other. */
     public static final String UNKNOWN_BOOT = "";
 
     /**
-     * Returns what to add to a Unix time of the process that took the earlier reading to have it in the time of this one.
-     * Within one boot the monotonic clock tells; across boots only the wall clock is left, and time never runs back.
+     * Returns the microseconds to add to a time of the process that took the earlier reading, to convert it to the time of
+     * the process that took this reading. Within one boot the offset follows from the monotonic clock. Across boots only the
+     * wall clock is available; the offset is then at most 0, and such that the earlier reading, once converted, is not later
+     * than this one.
      */
     public long offsetMicrosFrom(ClockReading earlier) {
-        long passed = monotonicMicros - earlier.monotonicMicros;
-        if (!bootId.equals(UNKNOWN_BOOT) && bootId.equals(earlier.bootId) && passed >= 0) {
-            return unixMicros - (earlier.unixMicros + passed);
+        long elapsedMicros = monotonicMicros - earlier.monotonicMicros;
+        if (!bootId.equals(UNKNOWN_BOOT) && bootId.equals(earlier.bootId) && elapsedMicros >= 0) {
+            return unixMicros - (earlier.unixMicros + elapsedMicros);
         }
         return Math.min(0, unixMicros - earlier.unixMicros);
     }
--- a/relay/src/main/java/yewpath/loop/EventLoop.java
+++ b/relay/src/main/java/yewpath/loop/EventLoop.java
@@ -7,119 +7,126 @@
 import yewpath.events.Event;
 import yewpath.events.Log;
 
-/** One thread's rounds: what became ready is gathered, then played in one go; and what is due at a time. */
+/**
+ * The event loop of one I/O thread. Events are queued while the ready channels are read, and are then processed together
+ * in one round; timers run actions at a later time. Unless stated otherwise, methods must be called on the I/O thread.
+ */
 public final class EventLoop {
-    /** Something due later, unless it is called off before. */
+    /** An action that runs at a later time unless it is cancelled before. */
     public static final class Timer {
-        private final long at;
-        private final long order;
-        private Runnable act;
-
-        private Timer(long at, long order, Runnable act) {
-            this.at = at;
-            this.order = order;
-            this.act = act;
+        private final long dueAtMicros;
+        private final long sequenceNumber;
+        private Runnable action;
+
+        private Timer(long dueAtMicros, long sequenceNumber, Runnable action) {
+            this.dueAtMicros = dueAtMicros;
+            this.sequenceNumber = sequenceNumber;
+            this.action = action;
         }
 
+        /** Prevents the action from running. Has no effect once it has run. */
         public void cancel() {
-            act = null;
+            action = null;
         }
     }
 
     private final XnioIoThread thread;
     private final Clock clock;
-    private final ArrayDeque<Runnable> gathered = new ArrayDeque<>();
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> a.at != b.at
-        ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private Runnable round = () -> {};
-    private boolean roundAsked;
-    private long ordered;
-    private long wakeAt = Long.MAX_VALUE;
-
-    /** Runs on this I/O thread; time starts now. */
+    private final ArrayDeque<Runnable> queuedEvents = new ArrayDeque<>();
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> a.dueAtMicros != b.dueAtMicros
+        ? Long.compare(a.dueAtMicros, b.dueAtMicros) : Long.compare(a.sequenceNumber, b.sequenceNumber));
+    private Runnable roundAction = () -> {};
+    private boolean roundRequested;
+    private long nextSequenceNumber;
+    private long wakeUpAtMicros = Long.MAX_VALUE;
+
+    /** Creates an event loop on this I/O thread, with a clock that starts at the current time. */
     public EventLoop(XnioIoThread thread) {
         this(thread, new Clock());
     }
 
-    /** Runs on this I/O thread, by this clock. */
+    /** Creates an event loop on this I/O thread, with this clock. */
     public EventLoop(XnioIoThread thread, Clock clock) {
         this.thread = thread;
         this.clock = clock;
     }
 
+    /** Returns the I/O thread of this event loop; may be called from any thread. */
     public XnioIoThread thread() {
         return thread;
     }
 
-    /** Microseconds of Unix time, steady within one process whatever is done to the system's clock. */
+    /** Returns the time of the {@link Clock}, in microseconds of Unix time; may be called from any thread. */
     public long nowMicros() {
         return clock.nowMicros();
     }
 
-    public void setRoundAction(Runnable act) {
-        round = act;
+    /** Sets the action to run in each round. */
+    public void setRoundAction(Runnable action) {
+        roundAction = action;
     }
 
-    /** Keeps an event for the round that follows all that is ready now. */
+    /** Queues an event for the next round, and requests that round. */
     public void enqueue(Runnable event) {
-        gathered.add(event);
+        queuedEvents.add(event);
         requestRound();
     }
 
-    /** Asks for a round; several requests before it make one. */
+    /** Requests a round, which runs after all channels that are ready now. Several requests lead to one round. */
     public void requestRound() {
-        if (!roundAsked) {
-            roundAsked = true;
-            thread.execute(this::play);
+        if (!roundRequested) {
+            roundRequested = true;
+            thread.execute(this::runRound);
         }
     }
 
-    private void play() {
-        roundAsked = false;
-        round.run();
+    private void runRound() {
+        roundRequested = false;
+        roundAction.run();
     }
 
-    /** Plays the events gathered so far; what they gather in turn waits for the next round. */
+    /** Runs the events queued so far. Events that they queue wait for the next round. */
     public void runQueuedEvents() {
-        for (int left = gathered.size(); left > 0; left--) {
-            runLoggingFailures(gathered.poll());
+        for (int remaining = queuedEvents.size(); remaining > 0; remaining--) {
+            runLoggingFailures(queuedEvents.poll());
         }
     }
 
-    /** What goes wrong with one envelope or connection must not take the others along. */
-    public static void runLoggingFailures(Runnable act) {
+    /** Runs an action and logs what it throws, so that a failure with one message or connection does not affect others. */
+    public static void runLoggingFailures(Runnable action) {
         try {
-            act.run();
-        } catch (RuntimeException | Error e) {
-            Log.tell(Event.RELAY_FAULT, e);
+            action.run();
+        } catch (RuntimeException | Error failure) {
+            Log.tell(Event.RELAY_FAULT, failure);
         }
     }
 
-    /** Runs an action once after this many microseconds; a negative delay counts as none. */
-    public Timer schedule(long micros, Runnable act) {
-        Timer timer = new Timer(nowMicros() + Math.max(0, micros), ordered++, act);
+    /** Runs an action once after this delay; a negative delay counts as 0. */
+    public Timer schedule(long delayMicros, Runnable action) {
+        Timer timer = new Timer(nowMicros() + Math.max(0, delayMicros), nextSequenceNumber++, action);
         timers.add(timer);
-        wake();
+        scheduleWakeUp();
         return timer;
     }
 
-    private void wake() {
-        if (!timers.isEmpty() && timers.peek().at < wakeAt) {
-            wakeAt = timers.peek().at;
-            long at = wakeAt;
-            thread.executeAfter(() -> ring(at), Math.max(0, at - nowMicros()), TimeUnit.MICROSECONDS);
+    private void scheduleWakeUp() {
+        if (!timers.isEmpty() && timers.peek().dueAtMicros < wakeUpAtMicros) {
+            wakeUpAtMicros = timers.peek().dueAtMicros;
+            long scheduledForMicros = wakeUpAtMicros;
+            thread.executeAfter(() -> runDueTimers(scheduledForMicros),
+                Math.max(0, scheduledForMicros - nowMicros()), TimeUnit.MICROSECONDS);
         }
     }
 
-    private void ring(long at) {
-        wakeAt = at == wakeAt ? Long.MAX_VALUE : wakeAt;
+    private void runDueTimers(long scheduledForMicros) {
+        wakeUpAtMicros = scheduledForMicros == wakeUpAtMicros ? Long.MAX_VALUE : wakeUpAtMicros;
         long now = nowMicros();
-        while (!timers.isEmpty() && (timers.peek().at <= now || timers.peek().act == null)) {
-            Runnable act = timers.poll().act;
-            if (act != null) {
-                runLoggingFailures(act);
+        while (!timers.isEmpty() && (timers.peek().dueAtMicros <= now || timers.peek().action == null)) {
+            Runnable action = timers.poll().action;
+            if (action != null) {
+                runLoggingFailures(action);
             }
         }
-        wake();
+        scheduleWakeUp();
     }
 }
--- a/relay/src/main/java/yewpath/loop/package-info.java
+++ b/relay/src/main/java/yewpath/loop/package-info.java
@@ -1,2 +1,5 @@
-/** The event loop of the I/O thread: rounds, timers, and the limits on memory, descriptors and time. */
+/**
+ * The event loop of the I/O thread with its rounds and timers, the clock of the process, and the limits on sizes,
+ * connections and times.
+ */
 package yewpath.loop;
--- a/relay/src/test/java/yewpath/loop/ClockReadingTest.java
+++ b/relay/src/test/java/yewpath/loop/ClockReadingTest.java
@@ -4,29 +4,31 @@
 
 import org.testng.annotations.Test;
 
-/** Times are taken over by the monotonic clock within a boot, and by the wall clock across boots. */
+/** Times are converted by the monotonic clock within one boot, and by the wall clock across boots. */
 public final class ClockReadingTest {
-    private static final long HOUR = 3_600_000_000L;
-    private static final ClockReading EARLIER = new ClockReading("boot", 1_000, 2 * HOUR);
+    private static final long HOUR_MICROS = 3_600_000_000L;
+    private static final ClockReading EARLIER = new ClockReading("boot", 1_000, 2 * HOUR_MICROS);
 
     @Test
-    public void withinABootAStepOfTheWallClockIsTheOffset() {
-        assertEquals(new ClockReading("boot", 1_500, 2 * HOUR + 500).offsetMicrosFrom(EARLIER), 0);
-        assertEquals(new ClockReading("boot", 1_500, 3 * HOUR + 500).offsetMicrosFrom(EARLIER), HOUR);
-        assertEquals(new ClockReading("boot", 1_500, HOUR + 500).offsetMicrosFrom(EARLIER), -HOUR);
+    public void withinOneBootTheOffsetIsTheStepOfTheWallClock() {
+        assertEquals(new ClockReading("boot", 1_500, 2 * HOUR_MICROS + 500).offsetMicrosFrom(EARLIER), 0);
+        assertEquals(new ClockReading("boot", 1_500, 3 * HOUR_MICROS + 500).offsetMicrosFrom(EARLIER),
+            HOUR_MICROS);
+        assertEquals(new ClockReading("boot", 1_500, HOUR_MICROS + 500).offsetMicrosFrom(EARLIER),
+            -HOUR_MICROS);
     }
 
     @Test
-    public void acrossBootsTimeDoesNotRunBack() {
-        assertEquals(new ClockReading("next", 5_000, 3 * HOUR).offsetMicrosFrom(EARLIER), 0);
-        assertEquals(new ClockReading("next", 5_000, HOUR).offsetMicrosFrom(EARLIER), -HOUR);
-        assertEquals(new ClockReading("boot", 500, HOUR).offsetMicrosFrom(EARLIER), -HOUR);
+    public void acrossBootsTheOffsetIsNeverPositive() {
+        assertEquals(new ClockReading("next", 5_000, 3 * HOUR_MICROS).offsetMicrosFrom(EARLIER), 0);
+        assertEquals(new ClockReading("next", 5_000, HOUR_MICROS).offsetMicrosFrom(EARLIER), -HOUR_MICROS);
+        assertEquals(new ClockReading("boot", 500, HOUR_MICROS).offsetMicrosFrom(EARLIER), -HOUR_MICROS);
     }
 
     @Test
-    public void twoBootsThatAreNotToldAreNotOne() {
-        ClockReading earlier = new ClockReading(ClockReading.UNKNOWN_BOOT, 1_000, 2 * HOUR);
-        ClockReading later = new ClockReading(ClockReading.UNKNOWN_BOOT, 1_500, 3 * HOUR);
+    public void twoUnknownBootsAreNotTheSameBoot() {
+        ClockReading earlier = new ClockReading(ClockReading.UNKNOWN_BOOT, 1_000, 2 * HOUR_MICROS);
+        ClockReading later = new ClockReading(ClockReading.UNKNOWN_BOOT, 1_500, 3 * HOUR_MICROS);
         assertEquals(later.offsetMicrosFrom(earlier), 0);
     }
 }
