--- a/relay/src/main/java/yewpath/http/BufferedConnection.java
+++ b/relay/src/main/java/yewpath/http/BufferedConnection.java
@@ -7,21 +7,22 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * An open TCP connection with a ring buffer for each direction. A listener is notified when bytes have been received and
- * when the input has ended. All methods must be called on the I/O thread of the connection.
+ * An open TCP connection with a ring buffer for each direction. A listener is notified when bytes have been
+ * received and when the input has ended. All methods must be called on the I/O thread of the connection.
  */
 public final class BufferedConnection {
     /**
-     * Receives the events of a connection, on its I/O thread. Nothing is reported after the end of the input, except that a
-     * write may still fail after an orderly end.
+     * Receives the events of a connection, on its I/O thread. Nothing is reported after the end of the input,
+     * except that a write may still fail after an orderly end.
      */
     public interface Listener {
         /** New bytes are in {@link BufferedConnection#input}. */
         void onBytesReceived();
 
         /**
-         * The peer has ended its output, or the connection has failed. {@code failed} is true after an I/O error, which has
-         * closed the connection, and false after an orderly end, which leaves it open for writing.
+         * The peer has ended its output, or the connection has failed. {@code failed} is true after an I/O
+         * error, which has closed the connection, and false after an orderly end, which leaves it open for
+         * writing.
          */
         void onEndOfInput(boolean failed);
     }
@@ -38,7 +39,7 @@
     private boolean inputEnded;
     private boolean outputShutdownRequested;
 
-    /** Starts to read from the connection. Each ring buffer starts at {@code initialRingBytes}, at most {@code maxRingBytes}. */
+    /** Starts to read from the connection, with ring buffers of these initial and maximum sizes. */
     public BufferedConnection(StreamConnection connection, int initialRingBytes, int maxRingBytes,
         BufferedConnection.Listener listener) {
         this.connection = connection;
@@ -66,7 +67,8 @@
         boolean failed = false;
         try {
             int read = 0;
-            // The ring buffer bounds what is read. The rest stays in the socket, so that TCP flow control slows the peer.
+            // The ring buffer bounds what is read. The rest stays in the socket, so that TCP flow control
+            // slows the peer.
             while (!closed && (read = input.readFrom(source)) > 0) {
                 if (input.isFull()) {
                     break;
@@ -96,9 +98,9 @@
     }
 
     /**
-     * Returns whether the connection is open and nothing has been received that is not consumed yet. The check reads from
-     * the socket; what it reads stays in {@link #input} and is not reported, so a connection that fails the check must not
-     * be used further.
+     * Returns whether the connection is open and nothing has been received that is not consumed yet. The
+     * check reads from the socket; what it reads stays in {@link #input} and is not reported, so a connection
+     * that fails the check must not be used further.
      */
     public boolean hasNoPendingInput() {
         try {
@@ -115,7 +117,9 @@
         }
     }
 
-    /** Queues bytes and writes as many as the socket accepts; the rest follows when the socket is writable. */
+    /**
+     * Queues bytes and writes as many as the socket accepts; the rest follows when the socket is writable.
+     */
     public void write(byte[] bytes) {
         output.append(bytes);
         flush();
--- a/relay/src/main/java/yewpath/http/HttpMessageBuilder.java
+++ b/relay/src/main/java/yewpath/http/HttpMessageBuilder.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * Builds HTTP/1.1 requests and responses. Header names and values are not checked for line breaks: callers pass only
- * text of this program or text that {@link HttpParser} has accepted in a head.
+ * Builds HTTP/1.1 requests and responses. Header names and values are not checked for line breaks: callers
+ * pass only text of this program or text that {@link HttpParser} has accepted in a head.
  */
 public final class HttpMessageBuilder {
     private static final byte[] EMPTY_BODY = {};
--- a/relay/src/main/java/yewpath/http/HttpParser.java
+++ b/relay/src/main/java/yewpath/http/HttpParser.java
@@ -6,11 +6,15 @@
 import java.util.List;
 
 /**
- * An incremental parser for HTTP/1.1 requests or responses. It consumes the bytes of a ring buffer as they arrive and
- * parses one message at a time; {@link #startNextMessage} prepares it for the next message on the connection.
+ * An incremental parser for HTTP/1.1 requests or responses. It consumes the bytes of a ring buffer as they
+ * arrive and parses one message at a time; {@link #startNextMessage} prepares it for the next message on the
+ * connection.
  */
 public final class HttpParser {
-    /** The next part of the message to parse. The order matters: the stages after {@code HEADERS} have a complete head. */
+    /**
+     * The next part of the message to parse. The order matters: the stages after {@code HEADERS} have a
+     * complete head.
+     */
     private enum Stage {
         START_LINE,
         HEADERS,
@@ -45,7 +49,8 @@
     /**
      * Creates a parser for requests or for responses.
      *
-     * @param maxHeadBytes the largest size of a head, of the lines between two chunks of a body, and of the trailers
+     * @param maxHeadBytes the largest size of a head, of the lines between two chunks of a body, and of the
+     * trailers
      * @param maxBodyBytes the largest size of a body that has been received and not been removed yet
      */
     public HttpParser(boolean parsesRequests, int maxHeadBytes, int maxBodyBytes) {
@@ -69,7 +74,10 @@
         return status;
     }
 
-    /** Returns the status code as soon as the status line has been parsed, even if the rest is malformed; 0 before. */
+    /**
+     * Returns the status code as soon as the status line has been parsed, even if the rest is malformed; 0
+     * before.
+     */
     public int receivedStatus() {
         return stage == Stage.START_LINE ? 0 : status;
     }
@@ -104,7 +112,10 @@
         return Arrays.copyOf(body, bodySize);
     }
 
-    /** Returns the part of the body that has been received since the last call, and removes it from the parser. */
+    /**
+     * Returns the part of the body that has been received since the last call, and removes it from the
+     * parser.
+     */
     public byte[] removeBody() {
         byte[] removed = body();
         body = bodySize > MAX_RETAINED_BODY_BYTES ? new byte[0] : body;
@@ -166,7 +177,9 @@
         return true;
     }
 
-    /** Handles the end of the input. Returns whether the message is complete; it may end with the connection. */
+    /**
+     * Handles the end of the input. Returns whether the message is complete; it may end with the connection.
+     */
     public boolean endOfInput() {
         stage = stage == Stage.BODY_UNTIL_CLOSE ? Stage.COMPLETE : stage;
         return stage == Stage.COMPLETE;
@@ -191,7 +204,8 @@
         int length = endsInCrLf ? end - 1 : end;
         byte[] line = new byte[end + 1];
         input.remove(line, 0, end + 1);
-        // The status line of a response is accepted even if it is badly formed, because the status code still counts.
+        // The status line of a response is accepted even if it is badly formed, because the status code still
+        // counts.
         if (parsesRequests || stage != Stage.START_LINE) {
             require(endsInCrLf, "line does not end in CR LF");
             for (int i = 0; i < length; i++) {
@@ -302,7 +316,8 @@
         int count = (int) Math.min(remainingBytes, input.size());
         checkBodySize(count);
         if (bodySize + count > body.length) {
-            // Grows with the bytes received, not with the announced length: a peer can announce any length at no cost.
+            // Grows with the bytes received, not with the announced length: a peer can announce any length at
+            // no cost.
             long doubled = Math.min(2L * (bodySize + count), bodySize + remainingBytes);
             body = Arrays.copyOf(body, (int) Math.max(doubled, bodySize + count));
         }
--- a/relay/src/main/java/yewpath/http/OutboundConnection.java
+++ b/relay/src/main/java/yewpath/http/OutboundConnection.java
@@ -12,27 +12,33 @@
 import yewpath.loop.Limits;
 
 /**
- * A connection from this process to another HTTP server. It carries one request at a time and never repeats a request by
- * itself. All methods must be called on the I/O thread of the event loop.
+ * A connection from this process to another HTTP server. It carries one request at a time and never repeats a
+ * request by itself. All methods must be called on the I/O thread of the event loop.
  */
 public final class OutboundConnection implements BufferedConnection.Listener {
     /**
      * Receives the events of one request. A request ends with exactly one call of {@link #onResponse} or
-     * {@link #onFailure}, unless {@link #closeWithoutNotifying} is called or {@link #beforeSend} returns false.
+     * {@link #onFailure}, unless {@link #closeWithoutNotifying} is called or {@link #beforeSend} returns
+     * false.
      */
     public interface ResponseHandler {
         /**
-         * Called just before the first byte of the request is written. Returns false if the request must not be sent any
-         * more; the handler then has to close the connection itself.
+         * Called just before the first byte of the request is written. Returns false if the request must not
+         * be sent any more; the handler then has to close the connection itself.
          */
         default boolean beforeSend() {
             return true;
         }
 
-        /** A part of the response has been received; the handler may remove the received body from the parser. */
+        /**
+         * A part of the response has been received; the handler may remove the received body from the parser.
+         */
         default void onPartialResponse(HttpParser response) {}
 
-        /** Tells to which request a complete response belongs. Only a response to the current request is passed on. */
+        /**
+         * Tells to which request a complete response belongs. Only a response to the current request is
+         * passed on.
+         */
         default ResponseMatch matchResponse(HttpParser response) {
             return ResponseMatch.CURRENT_THEN_CLOSE;
         }
@@ -41,8 +47,8 @@
         void onResponse(HttpParser response);
 
         /**
-         * The connection has ended without a complete response. {@code sent} tells whether the last byte of the request had
-         * been written; {@code response} holds what has been received of a response.
+         * The connection has ended without a complete response. {@code sent} tells whether the last byte of
+         * the request had been written; {@code response} holds what has been received of a response.
          */
         void onFailure(boolean sent, HttpParser response);
     }
@@ -124,7 +130,10 @@
         connection.write(requestBytes);
     }
 
-    /** Returns the status code of the response, even if the rest is missing or malformed; 0 before the status line. */
+    /**
+     * Returns the status code of the response, even if the rest is missing or malformed; 0 before the status
+     * line.
+     */
     public int receivedStatus() {
         return parser.receivedStatus();
     }
@@ -135,8 +144,9 @@
     }
 
     /**
-     * Returns whether the connection is open and nothing has been received since the last response. Guards against bytes
-     * that belong to that response, such as a duplicate of it, being read as the response to the next request.
+     * Returns whether the connection is open and nothing has been received since the last response. Guards
+     * against bytes that belong to that response, such as a duplicate of it, being read as the response to
+     * the next request.
      */
     public boolean hasNoPendingInput() {
         return connection != null && connection.hasNoPendingInput();
--- a/relay/src/main/java/yewpath/http/ResponseHistory.java
+++ b/relay/src/main/java/yewpath/http/ResponseHistory.java
@@ -5,18 +5,21 @@
 import java.util.Set;
 
 /**
- * Hash codes of the bodies of the responses received on one connection. They show whether a response may be a duplicate
- * of an earlier one.
+ * Hash codes of the bodies of the responses received on one connection. They show whether a response may be a
+ * duplicate of an earlier one.
  */
 public final class ResponseHistory {
-    /** A connection that has received this many different bodies is closed, which bounds the memory for their hash codes. */
+    /**
+     * A connection that has received this many different bodies is closed, which bounds the memory for their
+     * hash codes.
+     */
     private static final int MAX_BODIES = 1_000;
 
     private final Set<Integer> bodyHashCodes = new HashSet<>();
 
     /**
-     * Returns whether a response with this body was added before. A different body with the same hash code gives a false
-     * positive, which is rare.
+     * Returns whether a response with this body was added before. A different body with the same hash code
+     * gives a false positive, which is rare.
      */
     public boolean contains(byte[] body) {
         return bodyHashCodes.contains(Arrays.hashCode(body));
--- a/relay/src/main/java/yewpath/http/RingBuffer.java
+++ b/relay/src/main/java/yewpath/http/RingBuffer.java
@@ -7,8 +7,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * A ring buffer for the bytes of one direction of a connection. It doubles its capacity when it is full, up to a
- * maximum; reading from the channel stops there.
+ * A ring buffer for the bytes of one direction of a connection. It doubles its capacity when it is full, up
+ * to a maximum; reading from the channel stops there.
  */
 public final class RingBuffer {
     private final int initialBytes;
@@ -17,7 +17,9 @@
     private int head;
     private int size;
 
-    /** Creates an empty buffer with a capacity of {@code initialBytes}, which may grow to {@code maxBytes}. */
+    /**
+     * Creates an empty buffer with a capacity of {@code initialBytes}, which may grow to {@code maxBytes}.
+     */
     public RingBuffer(int initialBytes, int maxBytes) {
         this.initialBytes = initialBytes;
         this.maxBytes = maxBytes;
@@ -79,8 +81,8 @@
     }
 
     /**
-     * Reads once from a channel. Returns the number of bytes read, 0 if none were available or the buffer is full, and
-     * -1 at the end of the stream.
+     * Reads once from a channel. Returns the number of bytes read, 0 if none were available or the buffer is
+     * full, and -1 at the end of the stream.
      */
     public int readFrom(ConduitStreamSourceChannel channel) throws IOException {
         if (size == bytes.length) {
@@ -107,7 +109,8 @@
         if (neededBytes <= bytes.length) {
             return;
         }
-        // Only append() may exceed the maximum, by the message that is being sent; readFrom() stops at the maximum.
+        // Only append() may exceed the maximum, by the message that is being sent; readFrom() stops at the
+        // maximum.
         int capacity = Math.max(neededBytes, Math.min(maxBytes, bytes.length * 2));
         byte[] larger = Arrays.copyOfRange(bytes, head, head + capacity);
         int toEnd = Math.min(size, bytes.length - head);
--- a/relay/src/main/java/yewpath/loop/Clock.java
+++ b/relay/src/main/java/yewpath/loop/Clock.java
@@ -6,13 +6,16 @@
 import java.time.Instant;
 
 /**
- * The clock of one process. It reads the wall clock once and adds the time of the monotonic clock, so later changes of the
- * system time do not affect it.
+ * The clock of one process. It reads the wall clock once and adds the time of the monotonic clock, so later
+ * changes of the system time do not affect it.
  */
 public final class Clock {
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-    /** Unix time at which the monotonic clock would read 0, by the wall clock as it was at the start of the process. */
+    /**
+     * Unix time at which the monotonic clock would read 0, by the wall clock as it was at the start of the
+     * process.
+     */
     private final long monotonicOriginUnixMicros;
 
     /** Creates a clock that starts at the current wall-clock time. */
--- a/relay/src/main/java/yewpath/loop/EventLoop.java
+++ b/relay/src/main/java/yewpath/loop/EventLoop.java
@@ -8,8 +8,9 @@
 import yewpath.events.Log;
 
 /**
- * The event loop of one I/O thread. Events are queued while the ready channels are read, and are then processed together
- * in one round; timers run actions at a later time. Unless stated otherwise, methods must be called on the I/O thread.
+ * The event loop of one I/O thread. Events are queued while the ready channels are read, and are then
+ * processed together in one round; timers run actions at a later time. Unless stated otherwise, methods must
+ * be called on the I/O thread.
  */
 public final class EventLoop {
     /** An action that runs at a later time unless it is cancelled before. */
@@ -72,7 +73,9 @@
         requestRound();
     }
 
-    /** Requests a round, which runs after all channels that are ready now. Several requests lead to one round. */
+    /**
+     * Requests a round, which runs after all channels that are ready now. Several requests lead to one round.
+     */
     public void requestRound() {
         if (!roundRequested) {
             roundRequested = true;
@@ -92,7 +95,10 @@
         }
     }
 
-    /** Runs an action and logs what it throws, so that a failure with one message or connection does not affect others. */
+    /**
+     * Runs an action and logs what it throws, so that a failure with one message or connection does not
+     * affect others.
+     */
     public static void runLoggingFailures(Runnable action) {
         try {
             action.run();
--- a/relay/src/main/java/yewpath/loop/Limits.java
+++ b/relay/src/main/java/yewpath/loop/Limits.java
@@ -5,214 +5,299 @@
 import yewpath.operator.Operator;
 
 /**
- * Every bound on sizes, counts and times of the network code; filled at start, handed down from there, and filled
- * anew when the operator's file has changed. Times are microseconds, sizes bytes. What is read once, where something
- * is built, waits for a restart: {@link Catalogue} says of which keys that holds.
+ * The limits on sizes, counts and times of the network code and the ledger. They are computed at the start,
+ * and again when the operator's file has changed. A limit that is read only once, when something is created,
+ * changes only with a restart: {@link Catalogue} tells for which keys that is so. Times are in microseconds,
+ * sizes in bytes.
  */
 public final class Limits {
-    private record Figures(int clientLinks, int acceptAhead, int endpointLinks, int backlog, int ringFirst,
-        int ringMost, int headMost, int bodyMost, int idMost, int lineMost, long ledgerLive,
-        long ledgerAnew, int ledgerAside, long requestWithin, long clientIdle, long silentFor,
-        long idleLeast, long speechWithin, long lingerFor, int lingerMost, long sweepEvery,
-        long connectWithin, long endpointIdle, long answerRest, long watchSilence, long retryFirst,
-        long retryMost, long noticeWithin, int noticesAtOnce, long drainFresh, long drainMost,
-        long drainLeast) {}
-
-    private static final long SECOND = 1_000_000;
-    private final ToDoubleFunction<String> told;
-    private final long connectTimeout;
-    private final long connectionIdle;
-    /** Changed on the I/O thread; read there, and by the one that ends the process. */
-    private volatile Figures now;
-
-    /** {@code told} gives a figure of the platform's configuration, or 0. */
-    public Limits(ToDoubleFunction<String> told, long connectTimeout, long connectionIdle,
-        Operator operator) {
-        this.told = told;
-        this.connectTimeout = connectTimeout;
-        this.connectionIdle = connectionIdle;
+    private record Values(int maxClientConnections, int extraAcceptedConnections, int maxEndpointConnections,
+        int listenBacklog, int initialRingBytes, int maxRingBytes, int maxHeadBytes, int maxBodyBytes,
+        int maxIdLength, int maxDiscoveryLineBytes, long maxLiveLedgerBytes, long ledgerCompactionBytes,
+        int ledgerReservedBytesPerMessage, long requestTimeoutMicros, long clientIdleTimeoutMicros,
+        long silentClientTimeoutMicros, long idleBeforeEvictionMicros, long silenceBeforeEvictionMicros,
+        long lingerMicros, int maxLingerBytes, long sweepIntervalMicros, long connectTimeoutMicros,
+        long endpointIdleTimeoutMicros, long responseCompletionTimeoutMicros,
+        long discoverySilenceTimeoutMicros, long initialRetryDelayMicros, long maxRetryDelayMicros,
+        long noticeTimeoutMicros, int maxNoticesPerRequest, long shutdownNewAttemptsMicros,
+        long maxShutdownCallWaitMicros, long minShutdownMicros) {}
+
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int BYTES_PER_MIB = 1 << 20;
+    private static final int DEFAULT_SOCKETS = 1024;
+    /** Left for files, jars, the selector, the ledger, the listener and the connections to discovery. */
+    private static final int RESERVED_DESCRIPTORS = 48;
+    private static final int DEFAULT_DISK_MIB = 64;
+    private final ToDoubleFunction<String> platformLimits;
+    private final long connectTimeoutMicros;
+    private final long connectionIdleMicros;
+    /** Written on the I/O thread; read there and by the thread that ends the process. */
+    private volatile Values values;
+
+    /**
+     * Computes the limits.
+     *
+     * @param platformLimits returns the limit of this name from the platform's configuration, or 0 if it is
+     * not set
+     * @param connectTimeoutMicros the timeout for connecting to a server; 0 for the default of 1 s
+     * @param connectionIdleMicros the time after which endpoints close an idle connection; 0 for the default
+     * of 10 s
+     */
+    public Limits(ToDoubleFunction<String> platformLimits, long connectTimeoutMicros,
+        long connectionIdleMicros, Operator operator) {
+        this.platformLimits = platformLimits;
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.connectionIdleMicros = connectionIdleMicros;
         update(operator);
     }
 
-    /** Sets all limits from the operator's settings and what the platform allows. */
-    public void update(Operator o) {
-        // Left for files, the jars, the selector, the ledger, the listener and the links to discovery.
-        int links = Math.max(3, (int) or("sockets", 1024) - 48);
-        long heap = Runtime.getRuntime().maxMemory();
-        double disk = or("disk_mb", 64) * (1 << 20);
-        long idle = connectionIdle > 0 ? connectionIdle : 10 * SECOND;
-        int ring = (int) o.figure(Catalogue.RING_MOST);
-        int body = (int) o.figure(Catalogue.CLIENT_BODY);
-        now = new Figures(
-            // Usual clients hold a third of all descriptors at most; what is over is for those that say nothing.
-            // Two fifths suffice for endpoints: a call more closes the connection that lay idle longest.
-            // Each client's connection may hold a ring and a body: all of them together must fit the heap.
-            (int) o.figureOr(Catalogue.CLIENT_LINKS,
-                Math.max(1, Math.min(links * 3 / 5, heap / 5 * 2 / (ring + body)))),
-            (int) o.figure(Catalogue.CLIENT_ACCEPT_AHEAD),
-            (int) o.figureOr(Catalogue.ENDPOINT_LINKS, Math.max(1, links * 2 / 5)),
-            (int) o.figure(Catalogue.CLIENT_BACKLOG),
-            (int) o.figure(Catalogue.RING_FIRST), ring, (int) o.figure(Catalogue.CLIENT_HEAD), body,
-            (int) o.figure(Catalogue.CLIENT_ID), (int) o.figure(Catalogue.LINE_MOST),
-            // Written anew at over half of the disk, with at most 0.4 of it still live: old and new fit together.
-            (long) (o.part(Catalogue.LEDGER_LIVE) * disk), (long) (o.part(Catalogue.LEDGER_ANEW) * disk),
-            (int) o.figure(Catalogue.LEDGER_ASIDE),
-            // A client is owed an error or a close within 3 s of connecting, but 2 s of silence are its own.
-            o.figure(Catalogue.CLIENT_REQUEST), o.figure(Catalogue.CLIENT_IDLE),
-            o.figure(Catalogue.CLIENT_SILENT),
-            o.figure(Catalogue.CLIENT_IDLE_LEAST), o.figure(Catalogue.CLIENT_SPEECH),
-            o.figure(Catalogue.CLIENT_LINGER), (int) o.figure(Catalogue.CLIENT_LINGER_MOST),
-            o.figure(Catalogue.CLIENT_SWEEP),
-            connectTimeout > 0 ? connectTimeout : SECOND,
-            // Ahead of the endpoint's own clock by what a busy machine and the network may add.
-            idle - Math.min(SECOND, idle / 8),
-            // An endpoint writes an answer in one go, late or not.
-            o.figure(Catalogue.ENDPOINT_REST),
-            // Discovery says something every 2 s unless it is down, and counts as heard 6 s after a change.
-            // Silence and the longest pause before the next try stay under that together.
-            o.figure(Catalogue.WATCH_SILENCE), o.figure(Catalogue.RETRY_FIRST),
-            o.figure(Catalogue.RETRY_MOST),
-            // A notice not answered at once goes again while it still is in time.
-            o.figure(Catalogue.NOTICE_WITHIN), (int) o.figure(Catalogue.NOTICES_AT_ONCE),
-            // Asked to end, a relay has 3.5 s: shots begin in the first part only, so that most come to their end.
-            o.figure(Catalogue.DRAIN_FRESH), o.figure(Catalogue.DRAIN_MOST), o.figure(Catalogue.DRAIN_LEAST));
-    }
-
-    private double or(String name, double otherwise) {
-        double figure = told.applyAsDouble(name);
-        return figure > 0 ? figure : otherwise;
-    }
-
+    /**
+     * Computes all limits from the operator's settings and the limits of the platform; called on the I/O
+     * thread.
+     */
+    public void update(Operator operator) {
+        int sockets = Math.max(3, (int) platformLimit("sockets", DEFAULT_SOCKETS) - RESERVED_DESCRIPTORS);
+        long heapBytes = Runtime.getRuntime().maxMemory();
+        double diskBytes = platformLimit("disk_mb", DEFAULT_DISK_MIB) * BYTES_PER_MIB;
+        long endpointIdleMicros = connectionIdleMicros > 0 ? connectionIdleMicros : 10 * SECOND_MICROS;
+        int ringBytes = (int) operator.figure(Catalogue.RING_MOST);
+        int bodyBytes = (int) operator.figure(Catalogue.CLIENT_BODY);
+        values = new Values(
+            // Active clients use at most a third of all descriptors; the rest of their share is for silent
+            // connections. Two fifths are enough for endpoints, because a further call closes the connection
+            // that is idle longest. Each client connection may hold a ring buffer and a body; all of them
+            // together must fit into the heap.
+            (int) operator.figureOr(Catalogue.CLIENT_LINKS,
+                Math.max(1, Math.min(sockets * 3 / 5, heapBytes / 5 * 2 / (ringBytes + bodyBytes)))),
+            (int) operator.figure(Catalogue.CLIENT_ACCEPT_AHEAD),
+            (int) operator.figureOr(Catalogue.ENDPOINT_LINKS, Math.max(1, sockets * 2 / 5)),
+            (int) operator.figure(Catalogue.CLIENT_BACKLOG),
+            (int) operator.figure(Catalogue.RING_FIRST), ringBytes,
+            (int) operator.figure(Catalogue.CLIENT_HEAD), bodyBytes,
+            (int) operator.figure(Catalogue.CLIENT_ID), (int) operator.figure(Catalogue.LINE_MOST),
+            // The ledger is compacted when it fills more than half of the disk space. At most 0.4 of the
+            // space belongs to live messages then, so the old and the new file fit at the same time.
+            (long) (operator.part(Catalogue.LEDGER_LIVE) * diskBytes),
+            (long) (operator.part(Catalogue.LEDGER_ANEW) * diskBytes),
+            (int) operator.figure(Catalogue.LEDGER_ASIDE),
+            // A client must see an error or a closed connection within 3 s of connecting, but may be silent
+            // for 2 s.
+            operator.figure(Catalogue.CLIENT_REQUEST), operator.figure(Catalogue.CLIENT_IDLE),
+            operator.figure(Catalogue.CLIENT_SILENT),
+            operator.figure(Catalogue.CLIENT_IDLE_LEAST), operator.figure(Catalogue.CLIENT_SPEECH),
+            operator.figure(Catalogue.CLIENT_LINGER), (int) operator.figure(Catalogue.CLIENT_LINGER_MOST),
+            operator.figure(Catalogue.CLIENT_SWEEP),
+            connectTimeoutMicros > 0 ? connectTimeoutMicros : SECOND_MICROS,
+            // Closes an idle connection before the endpoint does, by a margin for a busy machine and network
+            // delay.
+            endpointIdleMicros - Math.min(SECOND_MICROS, endpointIdleMicros / 8),
+            // An endpoint writes a response in one piece, even when the response is late.
+            operator.figure(Catalogue.ENDPOINT_REST),
+            // Discovery sends something every 2 s unless it is down, and assumes that a change is known 6 s
+            // later. The silence timeout and the maximum retry delay together must stay below these 6 s.
+            operator.figure(Catalogue.WATCH_SILENCE), operator.figure(Catalogue.RETRY_FIRST),
+            operator.figure(Catalogue.RETRY_MOST),
+            // A notice that gets no prompt response is sent again while it can still arrive in time.
+            operator.figure(Catalogue.NOTICE_WITHIN), (int) operator.figure(Catalogue.NOTICES_AT_ONCE),
+            // A relay has 3.5 s from SIGTERM to its end. Attempts start only in the first part of that time,
+            // so that most of them complete.
+            operator.figure(Catalogue.DRAIN_FRESH), operator.figure(Catalogue.DRAIN_MOST),
+            operator.figure(Catalogue.DRAIN_LEAST));
+    }
+
+    private double platformLimit(String name, double defaultValue) {
+        double value = platformLimits.applyAsDouble(name);
+        return value > 0 ? value : defaultValue;
+    }
+
+    /** Returns how many client connections may be open at once; a further one closes the least busy one. */
     public int maxClientConnections() {
-        return now.clientLinks;
+        return values.maxClientConnections;
     }
 
+    /** Returns how many connections may be accepted beyond the maximum, so that room can be made for them. */
     public int extraAcceptedConnections() {
-        return now.acceptAhead;
+        return values.extraAcceptedConnections;
     }
 
+    /**
+     * Returns how many connections to endpoints may be open at once; a further one closes the one idle
+     * longest.
+     */
     public int maxEndpointConnections() {
-        return now.endpointLinks;
+        return values.maxEndpointConnections;
     }
 
+    /** Returns how many connections the operating system may complete before they are accepted. */
     public int listenBacklog() {
-        return now.backlog;
+        return values.listenBacklog;
     }
 
+    /** Returns the initial size of a ring buffer. */
     public int initialRingBytes() {
-        return now.ringFirst;
+        return values.initialRingBytes;
     }
 
+    /**
+     * Returns the maximum size of a ring buffer; at this size reading stops, and TCP flow control slows the
+     * peer.
+     */
     public int maxRingBytes() {
-        return now.ringMost;
+        return values.maxRingBytes;
     }
 
+    /** Returns the maximum size of the head of a request or a response. */
     public int maxHeadBytes() {
-        return now.headMost;
+        return values.maxHeadBytes;
     }
 
+    /** Returns the maximum size of the body of a request or a response. */
     public int maxBodyBytes() {
-        return now.bodyMost;
+        return values.maxBodyBytes;
     }
 
+    /** Returns the maximum length of a message id, in characters. */
     public int maxIdLength() {
-        return now.idMost;
+        return values.maxIdLength;
     }
 
+    /** Returns the maximum size of one line from discovery, which may hold the whole list of endpoints. */
     public int maxDiscoveryLineBytes() {
-        return now.lineMost;
+        return values.maxDiscoveryLineBytes;
     }
 
+    /**
+     * Returns how many bytes of the ledger may belong to live messages; beyond that, new messages are
+     * refused.
+     */
     public long maxLiveLedgerBytes() {
-        return now.ledgerLive;
+        return values.maxLiveLedgerBytes;
     }
 
+    /** Returns the size of the ledger at which it is compacted. */
     public long ledgerCompactionBytes() {
-        return now.ledgerAnew;
+        return values.ledgerCompactionBytes;
     }
 
+    /** Returns the ledger space reserved for the attempts and the outcome of each message. */
     public int ledgerReservedBytesPerMessage() {
-        return now.ledgerAside;
+        return values.ledgerReservedBytesPerMessage;
     }
 
+    /**
+     * Returns the time for a client to send a request completely; for the first request it starts with the
+     * connection.
+     */
     public long requestTimeoutMicros() {
-        return now.requestWithin;
+        return values.requestTimeoutMicros;
     }
 
+    /** Returns how long a client connection may be idle after a response before it is closed. */
     public long clientIdleTimeoutMicros() {
-        return now.clientIdle;
+        return values.clientIdleTimeoutMicros;
     }
 
+    /** Returns how long a client may send nothing after connecting before its connection is closed. */
     public long silentClientTimeoutMicros() {
-        return now.silentFor;
+        return values.silentClientTimeoutMicros;
     }
 
+    /**
+     * Returns how long a client connection must be idle after a response to be the first to close for want of
+     * room.
+     */
     public long idleBeforeEvictionMicros() {
-        return now.idleLeast;
+        return values.idleBeforeEvictionMicros;
     }
 
+    /** Returns how long a new client connection must be silent to be the first to close for want of room. */
     public long silenceBeforeEvictionMicros() {
-        return now.speechWithin;
+        return values.silenceBeforeEvictionMicros;
     }
 
+    /**
+     * Returns how long a connection is read after its last response, so that the client can read that
+     * response.
+     */
     public long lingerMicros() {
-        return now.lingerFor;
+        return values.lingerMicros;
     }
 
+    /** Returns how many bytes are read on a connection after its last response. */
     public int maxLingerBytes() {
-        return now.lingerMost;
+        return values.maxLingerBytes;
     }
 
+    /** Returns the interval at which client connections are checked for expired timeouts. */
     public long sweepIntervalMicros() {
-        return now.sweepEvery;
+        return values.sweepIntervalMicros;
     }
 
+    /** Returns the timeout for connecting to another server. */
     public long connectTimeoutMicros() {
-        return now.connectWithin;
+        return values.connectTimeoutMicros;
     }
 
+    /** Returns how long a connection to an endpoint may be idle before it is closed. */
     public long endpointIdleTimeoutMicros() {
-        return now.endpointIdle;
+        return values.endpointIdleTimeoutMicros;
     }
 
+    /** Returns how long the rest of a response may take after its first byte. */
     public long responseCompletionTimeoutMicros() {
-        return now.answerRest;
+        return values.responseCompletionTimeoutMicros;
     }
 
+    /** Returns how long discovery may send nothing complete before the request to it is repeated. */
     public long discoverySilenceTimeoutMicros() {
-        return now.watchSilence;
+        return values.discoverySilenceTimeoutMicros;
     }
 
+    /**
+     * Returns the first delay before a failed request to discovery or the platform is retried; it doubles
+     * from there.
+     */
     public long initialRetryDelayMicros() {
-        return now.retryFirst;
+        return values.initialRetryDelayMicros;
     }
 
+    /** Returns the maximum of that delay. */
     public long maxRetryDelayMicros() {
-        return now.retryMost;
+        return values.maxRetryDelayMicros;
     }
 
+    /** Returns the time for the platform to respond to a notice before it is sent again. */
     public long noticeTimeoutMicros() {
-        return now.noticeWithin;
+        return values.noticeTimeoutMicros;
     }
 
+    /** Returns the maximum number of notices in one request. */
     public int maxNoticesPerRequest() {
-        return now.noticesAtOnce;
+        return values.maxNoticesPerRequest;
     }
 
+    /** Returns how long after SIGTERM new attempts may start. */
     public long shutdownNewAttemptsMicros() {
-        return now.drainFresh;
+        return values.shutdownNewAttemptsMicros;
     }
 
+    /** Returns how long after SIGTERM the relay waits for outstanding calls. */
     public long maxShutdownCallWaitMicros() {
-        return now.drainMost;
+        return values.maxShutdownCallWaitMicros;
     }
 
-    /** When a closing relay goes whatever is left: what it waits for last has its end, and the kill is not yet near. */
+    /**
+     * Returns how long after SIGTERM the relay ends at the latest, whatever is still outstanding. The longest
+     * wait for calls is over by then, and the process is not killed yet.
+     */
     public long shutdownTimeoutMicros() {
-        return now.drainMost + SECOND / 5;
+        return values.maxShutdownCallWaitMicros + SECOND_MICROS / 5;
     }
 
+    /**
+     * Returns the minimum time from SIGTERM to exit, during which clients that still connect get a response.
+     */
     public long minShutdownMicros() {
-        return now.drainLeast;
+        return values.minShutdownMicros;
     }
 }
