--- a/relay/src/main/java/yewpath/directory/Watch.java
+++ b/relay/src/main/java/yewpath/directory/DiscoveryClient.java
@@ -12,11 +12,11 @@
 import yewpath.loop.Loop;
 
 /** Follows discovery's list from the version known; whatever fails, the last list stays in use. */
-public final class Watch {
+public final class DiscoveryClient {
     private final Loop loop;
     private final Limits limits;
     private InetSocketAddress discovery;
-    private final Listing.Hearer hearer;
+    private final EndpointList.Listener listener;
     private final Runnable failed;
     private long version;
     private ServerConnection connection;
@@ -25,18 +25,19 @@
     private boolean everAnswered;
 
     /** {@code failed} hears that a watch or a fetch has ended; it may be null where nobody asks by itself. */
-    public Watch(Loop loop, Limits limits, InetSocketAddress discovery, long version, Listing.Hearer hearer,
+    public DiscoveryClient(Loop loop, Limits limits, InetSocketAddress discovery, long version,
+        EndpointList.Listener listener,
         Runnable failed) {
         this.loop = loop;
         this.limits = limits;
         this.discovery = discovery;
         this.version = version;
-        this.hearer = hearer;
+        this.listener = listener;
         this.failed = failed;
     }
 
     /** Opens the watch anew from the version known last. */
-    public void follow() {
+    public void startWatch() {
         if (again != null) {
             again.callOff();
         }
@@ -52,15 +53,15 @@
     }
 
     /** The list stays in use; what has changed since is asked for at the new address. */
-    public void move(InetSocketAddress address) {
+    public void setAddress(InetSocketAddress address) {
         discovery = address;
         backoff = 0;
         if (connection != null) {
-            follow();
+            startWatch();
         }
     }
 
-    public void fetch() {
+    public void fetchList() {
         ask("/registry/instances", false);
     }
 
@@ -126,8 +127,8 @@
             if (!answered) {
                 answered = true;
                 loop.gather(() -> {
-                    hearer.begins(false);
-                    hearer.ends();
+                    listener.listStarted(false);
+                    listener.listEnded();
                 });
             }
             hasNews();
@@ -172,11 +173,11 @@
         }
 
         private void object(byte[] bytes) {
-            Listing list = Listing.read(bytes);
+            EndpointList list = EndpointList.read(bytes);
             answered = true;
             isAlive();
             loop.gather(() -> {
-                list.playTo(hearer);
+                list.notifyListener(listener);
                 version = list.version;
                 backoff = 0;
             });
@@ -197,7 +198,7 @@
         } else if (following) {
             backoff = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoff));
             Log.tell(Event.DIRECTORY_LOST, backoff / 1000);
-            again = loop.after(backoff, this::follow);
+            again = loop.after(backoff, this::startWatch);
         }
     }
 }
--- a/relay/src/main/java/yewpath/directory/Listing.java
+++ b/relay/src/main/java/yewpath/directory/EndpointList.java
@@ -9,21 +9,22 @@
 import yewpath.json.Tokens;
 
 /** Discovery's list, or changes to it, read whole: of one that cannot be read nothing is handed on. */
-public final class Listing {
+public final class EndpointList {
     /** Hears a list entry by entry. */
-    public interface Hearer {
-        void begins(boolean whole);
+    public interface Listener {
+        void listStarted(boolean whole);
 
-        void entry(String id, InetSocketAddress address, String zone, String kind, String destination,
+        void endpointListed(String id, InetSocketAddress address, String zone, String kind,
+            String destination,
             int phase,
             double rate, long since);
 
-        void ends();
+        void listEnded();
     }
 
     private static final List<String> PHASES = List.of("up", "draining", "removed");
 
-    /** One entry on its way to the hearer. */
+    /** One entry on its way to the listener. */
     private record Entry(String id, InetSocketAddress address, String zone, String kind, String destination,
         int phase,
         double rate, long since) {}
@@ -32,19 +33,19 @@
     private final boolean whole;
     private final List<Entry> entries;
 
-    private Listing(long version, boolean whole, List<Entry> entries) {
+    private EndpointList(long version, boolean whole, List<Entry> entries) {
         this.version = version;
         this.whole = whole;
         this.entries = entries;
     }
 
     /** Throws IllegalArgumentException where it cannot be read. */
-    public static Listing read(byte[] bytes) {
-        return Tokens.read(bytes, Listing::read);
+    public static EndpointList read(byte[] bytes) {
+        return Tokens.read(bytes, EndpointList::read);
     }
 
     /** The list at whose first token the parser stands. */
-    public static Listing read(JsonParser at) throws IOException {
+    public static EndpointList read(JsonParser at) throws IOException {
         double[] version = {Double.NaN};
         boolean[] whole = {false};
         List<Entry> entries = new ArrayList<>();
@@ -64,7 +65,7 @@
         if (Double.isNaN(version[0]) || !listed[0]) {
             throw Tokens.fault(at, "a list without " + (listed[0] ? "version" : "servers"));
         }
-        return new Listing((long) version[0], whole[0], entries);
+        return new EndpointList((long) version[0], whole[0], entries);
     }
 
     private static Entry entry(JsonParser at) throws IOException {
@@ -98,22 +99,23 @@
         if (phase < 0) {
             throw Tokens.fault(at, "unknown state " + texts[4]);
         }
-        return new Entry(texts[0], address(texts[1]), texts[2], texts[3], String.valueOf((long) figures[0]),
+        return new Entry(texts[0], parseAddress(texts[1]), texts[2], texts[3],
+            String.valueOf((long) figures[0]),
             phase,
             figures[1], (long) (figures[2] * 1000));
     }
 
     /** Hands the entries over, between a beginning and an end. */
-    public void playTo(Hearer hearer) {
-        hearer.begins(whole);
+    public void notifyListener(Listener listener) {
+        listener.listStarted(whole);
         for (Entry e : entries) {
-            hearer.entry(e.id, e.address, e.zone, e.kind, e.destination, e.phase, e.rate, e.since);
+            listener.endpointListed(e.id, e.address, e.zone, e.kind, e.destination, e.phase, e.rate, e.since);
         }
-        hearer.ends();
+        listener.listEnded();
     }
 
     /** Reads a numeric address with a port; anything else is an IllegalArgumentException. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon)).replaceAll("^\\[|\\]$", "");
         String port = text.substring(colon + 1);
--- a/relay/src/main/java/yewpath/ledger/Ledger.java
+++ b/relay/src/main/java/yewpath/ledger/Ledger.java
@@ -30,14 +30,14 @@
     /** A record that is not written yet, and the number of the entry it is about. */
     private record Pending(long number, byte[] bytes) {}
 
-    private final LogFile file;
+    private final LedgerFile file;
     private final long liveMost;
     private final long anewAt;
     /** Shots and ends of an envelope taken on must always find room: set aside for each from the start. */
     private final int aside;
     /** In whose time all entries are. */
     private ClockReading clock;
-    private final Map<Long, Entry> live = new LinkedHashMap<>();
+    private final Map<Long, LedgerEntry> live = new LinkedHashMap<>();
     private final List<Pending> pending = new ArrayList<>();
     private int pendingBytes;
     private boolean writable = true;
@@ -50,7 +50,7 @@
         this.liveMost = liveMost;
         this.anewAt = anewAt;
         this.aside = aside;
-        file = new LogFile(folder);
+        file = new LedgerFile(folder);
         long torn = file.replay(this::restore);
         if (torn > 0) {
             Log.tell(Event.LEDGER_TORN, torn);
@@ -59,7 +59,7 @@
         rewrite();
     }
 
-    public Collection<Entry> live() {
+    public Collection<LedgerEntry> entries() {
         return new ArrayList<>(live.values());
     }
 
@@ -67,89 +67,91 @@
         return live.size();
     }
 
-    public long bytes() {
+    public long fileBytes() {
         return file.length();
     }
 
     /** Whether one more envelope could be kept to its end. */
-    public boolean hasRoom(Entry e) {
+    public boolean hasRoomFor(LedgerEntry e) {
         return liveBytes + e.room <= liveMost;
     }
 
     /** Creates an entry that is not part of the log yet. */
-    public Entry draft(String id, String offering, String tenant, String key, String tag, String destination,
+    public LedgerEntry createEntry(String id, String offering, String tenant, String key, String tag,
+        String destination,
         long expiry, byte[] body) {
-        Entry e = new Entry(++lastNumber, id, offering, tenant, key, tag, destination, expiry, body);
-        e.room = Records.taken(e).length + aside;
+        LedgerEntry e = new LedgerEntry(++lastNumber, id, offering, tenant, key, tag, destination, expiry,
+            body);
+        e.room = RecordFormat.taken(e).length + aside;
         return e;
     }
 
-    public void taken(Entry e) {
+    public void recordAccepted(LedgerEntry e) {
         add(e);
-        append(e, Records.taken(e));
+        append(e, RecordFormat.taken(e));
     }
 
-    /** Records that an attempt is about to leave, before its first byte does. */
-    public void shot(Entry e, long at, String zone) {
-        e.shots++;
-        e.outSince = at;
-        e.outZone = zone;
-        append(e, Records.shot(e));
+    /** RecordFormat that an attempt is about to leave, before its first byte does. */
+    public void recordAttempt(LedgerEntry e, long at, String zone) {
+        e.attempts++;
+        e.attemptStartedMicros = at;
+        e.attemptZone = zone;
+        append(e, RecordFormat.shot(e));
     }
 
     /** The shot that was out has come to its end. */
-    public void back(Entry e, boolean neverRan) {
-        if (e.outSince < 0) {
+    public void recordAttemptEnded(LedgerEntry e, boolean neverRan) {
+        if (e.attemptStartedMicros < 0) {
             return;
         }
         if (neverRan) {
-            e.outSince = -1;
+            e.attemptStartedMicros = -1;
         }
         e.outIsDoubt();
-        append(e, Records.back(e, neverRan));
+        append(e, RecordFormat.back(e, neverRan));
     }
 
-    /** Records that the message ended without delivery and its notice is owed. */
-    public void owed(Entry e, boolean handedBack, long pause) {
+    /** RecordFormat that the message ended without delivery and its notice is owed. */
+    public void recordNoticeOwed(LedgerEntry e, boolean handedBack, long pause) {
         e.noticeOwed = true;
-        e.handedBack = handedBack;
-        e.pause = pause;
+        e.rejected = handedBack;
+        e.retryAfterMicros = pause;
         dropBody(e);
-        append(e, Records.owed(e));
+        append(e, RecordFormat.owed(e));
     }
 
-    private void add(Entry e) {
+    private void add(LedgerEntry e) {
         live.put(e.number, e);
         liveBytes += e.room;
     }
 
-    private boolean remove(Entry e) {
+    private boolean remove(LedgerEntry e) {
         boolean was = live.remove(e.number) != null;
         liveBytes -= was ? e.room : 0;
         return was;
     }
 
-    private void dropBody(Entry e) {
+    private void dropBody(LedgerEntry e) {
         liveBytes -= e.body.length;
         e.room -= e.body.length;
         e.body = new byte[0];
     }
 
-    /** Records that nothing is owed for the message any more. */
-    public void over(Entry e) {
+    /** RecordFormat that nothing is owed for the message any more. */
+    public void recordCompleted(LedgerEntry e) {
         if (remove(e)) {
-            append(e, Records.over(e));
+            append(e, RecordFormat.over(e));
         }
     }
 
     /** Takes back an entry of which no record is written yet. */
-    public void discard(Entry e) {
+    public void discard(LedgerEntry e) {
         remove(e);
         pending.removeIf(record -> record.number == e.number);
         pendingBytes = pending.stream().mapToInt(record -> record.bytes.length).sum();
     }
 
-    private void append(Entry e, byte[] record) {
+    private void append(LedgerEntry e, byte[] record) {
         pending.add(new Pending(e.number, record));
         pendingBytes += record.length;
     }
@@ -162,7 +164,7 @@
     /** Hands all records to the system; where that fails they stay pending, and nothing may leave that rests on them. */
     public boolean flush() {
         if (!closed && (!writable || pendingBytes > 0)) {
-            boolean fits = pendingBytes < Records.LONGEST && file.length() + pendingBytes <= anewAt;
+            boolean fits = pendingBytes < RecordFormat.LONGEST && file.length() + pendingBytes <= anewAt;
             if (writable && file.canAppend() && fits) {
                 appendPending();
             } else {
@@ -181,7 +183,7 @@
 
     private void appendPending() {
         try {
-            file.append(Records.batch(pending.stream().map(Pending::bytes).toList()));
+            file.append(RecordFormat.batch(pending.stream().map(Pending::bytes).toList()));
             written();
         } catch (IOException e) {
             failed(e);
@@ -192,8 +194,8 @@
     private void rewrite() {
         long begun = System.nanoTime();
         long before = file.length();
-        Stream<byte[]> records = Stream.concat(Stream.of(Records.clock(clock)),
-            live.values().stream().map(Records::whole));
+        Stream<byte[]> records = Stream.concat(Stream.of(RecordFormat.clock(clock)),
+            live.values().stream().map(RecordFormat::whole));
         try {
             file.replace(records::iterator);
             if (before > 0) {
@@ -230,7 +232,7 @@
     }
 
     /** Notices a folder that was replaced under this process; the next flush writes all into the new one. */
-    public void checkPlace() {
+    public void checkFileReplaced() {
         if (writable && !file.isInPlace()) {
             Log.tell(Event.LEDGER_REPLACED, live.size());
             file.abandon();
@@ -241,7 +243,7 @@
     /** What was read so far is from an earlier process: in its time, and what was out may have run, and may yet. */
     private void takeOver(ClockReading next) {
         long offset = clock == null ? 0 : next.offsetFrom(clock);
-        for (Entry entry : live.values()) {
+        for (LedgerEntry entry : live.values()) {
             entry.shiftTimes(offset);
             entry.outIsDoubt();
         }
@@ -251,28 +253,28 @@
     private void restore(byte type, ByteBuffer fields) {
         long number = fields.getLong();
         if (type == CLOCK) {
-            takeOver(Records.readClock(fields));
+            takeOver(RecordFormat.readClock(fields));
             return;
         }
         lastNumber = Math.max(lastNumber, number);
         if (type == TAKEN) {
-            Entry e = Records.readTaken(number, fields);
-            e.room = Records.taken(e).length + aside;
+            LedgerEntry e = RecordFormat.readTaken(number, fields);
+            e.room = RecordFormat.taken(e).length + aside;
             add(e);
             return;
         }
-        Entry e = live.get(number);
+        LedgerEntry e = live.get(number);
         if (e == null) {
             return;
         }
         switch (type) {
-            case SHOT -> Records.readShot(e, fields);
+            case SHOT -> RecordFormat.readShot(e, fields);
             case BACK -> {
-                e.outSince = fields.get() == 1 ? -1 : e.outSince;
+                e.attemptStartedMicros = fields.get() == 1 ? -1 : e.attemptStartedMicros;
                 e.outIsDoubt();
             }
             case OWED -> {
-                Records.readOwed(e, fields);
+                RecordFormat.readOwed(e, fields);
                 dropBody(e);
             }
             case OVER -> remove(e);
--- a/relay/src/main/java/yewpath/ledger/LogFile.java
+++ b/relay/src/main/java/yewpath/ledger/LedgerFile.java
@@ -20,7 +20,7 @@
  * The log's file in the lasting folder. It is appended to until a write fails; what stands at its end is not known then,
  * and the next write has to replace it whole.
  */
-final class LogFile {
+final class LedgerFile {
     private static final String NAME = "ledger";
     private static final String NEXT_NAME = "ledger.next";
     private static final String SET_ASIDE_SUFFIX = ".unusable";
@@ -35,7 +35,7 @@
     private long length;
 
     /** Prepares the folder; nothing is written yet. */
-    LogFile(Path folder) throws IOException {
+    LedgerFile(Path folder) throws IOException {
         this.folder = folder;
         path = folder.resolve(NAME);
         next = folder.resolve(NEXT_NAME);
@@ -62,14 +62,14 @@
     }
 
     /** Hands on the records of an earlier process; returns how many bytes at the end are none. */
-    long replay(Records.Sink sink) throws IOException {
+    long replay(RecordFormat.Sink sink) throws IOException {
         if (!Files.exists(path)) {
             return 0;
         }
         long size = Files.size(path);
         // Takes no direct memory, of which there is less than a log can be long.
         try (InputStream in = new BufferedInputStream(new FileInputStream(path.toFile()), SLICE_BYTES)) {
-            return size - Records.play(in, size, sink);
+            return size - RecordFormat.play(in, size, sink);
         }
     }
 
--- a/relay/src/main/java/yewpath/ledger/Records.java
+++ b/relay/src/main/java/yewpath/ledger/RecordFormat.java
@@ -16,7 +16,7 @@
 import yewpath.loop.ClockReading;
 
 /** How records lie in the file: length, checksum, type, envelope's number, fields. */
-final class Records {
+final class RecordFormat {
     static final int FRAME = 8;
     private static final int LEAST = 9;
     /** A length above this is none that was written. */
@@ -32,7 +32,7 @@
         void to(DataOutputStream out) throws IOException;
     }
 
-    private Records() {}
+    private RecordFormat() {}
 
     /**
      * Hands on one record after another, up to the first that is not whole; returns how many bytes that are. A batch counts
@@ -107,22 +107,22 @@
         return record;
     }
 
-    static byte[] taken(Entry e) {
+    static byte[] taken(LedgerEntry e) {
         return record(Ledger.TAKEN, e.number, out -> {
-            for (String word : new String[]{e.id, e.offering, e.tenant, e.key, e.destination}) {
+            for (String word : new String[]{e.id, e.messageClass, e.tenant, e.key, e.destination}) {
                 out.writeBoolean(word != null);
                 write(out, word == null ? "" : word);
             }
-            out.writeLong(e.expiry);
+            out.writeLong(e.deadlineMicros);
             out.writeInt(e.body.length);
             out.write(e.body);
-            if (e.tag != null) {
-                write(out, e.tag);
+            if (e.idempotencyKey != null) {
+                write(out, e.idempotencyKey);
             }
         });
     }
 
-    static Entry readTaken(long number, ByteBuffer in) {
+    static LedgerEntry readTaken(long number, ByteBuffer in) {
         String[] words = new String[5];
         for (int i = 0; i < words.length; i++) {
             boolean told = in.get() == 1;
@@ -134,42 +134,42 @@
         in.get(body);
         // Last, since records from before there were tags end here.
         String tag = in.hasRemaining() ? read(in) : null;
-        return new Entry(number, words[0], words[1], words[2], words[3], tag, words[4], expiry, body);
+        return new LedgerEntry(number, words[0], words[1], words[2], words[3], tag, words[4], expiry, body);
     }
 
-    static byte[] shot(Entry e) {
+    static byte[] shot(LedgerEntry e) {
         return record(Ledger.SHOT, e.number, out -> {
-            out.writeInt(e.shots);
-            out.writeLong(e.outSince);
-            write(out, e.outZone);
-            out.writeLong(e.doubtSince);
-            write(out, e.doubtZone);
+            out.writeInt(e.attempts);
+            out.writeLong(e.attemptStartedMicros);
+            write(out, e.attemptZone);
+            out.writeLong(e.uncertainSinceMicros);
+            write(out, e.uncertainZone);
         });
     }
 
-    static void readShot(Entry e, ByteBuffer in) {
-        e.shots = in.getInt();
-        e.outSince = in.getLong();
-        e.outZone = read(in);
-        e.doubtSince = in.getLong();
-        e.doubtZone = read(in);
+    static void readShot(LedgerEntry e, ByteBuffer in) {
+        e.attempts = in.getInt();
+        e.attemptStartedMicros = in.getLong();
+        e.attemptZone = read(in);
+        e.uncertainSinceMicros = in.getLong();
+        e.uncertainZone = read(in);
     }
 
-    static byte[] back(Entry e, boolean neverRan) {
+    static byte[] back(LedgerEntry e, boolean neverRan) {
         return record(Ledger.BACK, e.number, out -> out.writeBoolean(neverRan));
     }
 
-    static byte[] owed(Entry e) {
+    static byte[] owed(LedgerEntry e) {
         return record(Ledger.OWED, e.number, out -> {
-            out.writeBoolean(e.handedBack);
-            out.writeLong(e.pause);
+            out.writeBoolean(e.rejected);
+            out.writeLong(e.retryAfterMicros);
         });
     }
 
-    static void readOwed(Entry e, ByteBuffer in) {
+    static void readOwed(LedgerEntry e, ByteBuffer in) {
         e.noticeOwed = true;
-        e.handedBack = in.get() == 1;
-        e.pause = in.getLong();
+        e.rejected = in.get() == 1;
+        e.retryAfterMicros = in.getLong();
     }
 
     static byte[] clock(ClockReading reading) {
@@ -185,15 +185,15 @@
         return new ClockReading(bootId, in.getLong(), in.getLong());
     }
 
-    static byte[] over(Entry e) {
+    static byte[] over(LedgerEntry e) {
         return record(Ledger.OVER, e.number, out -> {});
     }
 
     /** All that is known of an envelope, as few records. */
-    static byte[] whole(Entry e) {
+    static byte[] whole(LedgerEntry e) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(taken(e));
-        if (e.shots > 0) {
+        if (e.attempts > 0) {
             all.writeBytes(shot(e));
         }
         if (e.noticeOwed) {
--- a/relay/src/main/java/yewpath/outcome/Notices.java
+++ b/relay/src/main/java/yewpath/outcome/NoticeSender.java
@@ -14,17 +14,17 @@
 import yewpath.http.Parser;
 import yewpath.http.Writer;
 import yewpath.json.Tokens;
-import yewpath.ledger.Entry;
+import yewpath.ledger.LedgerEntry;
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
 
 /** Tells the platform of envelopes that ended undelivered, again and again until it has heard. */
-public final class Notices {
+public final class NoticeSender {
     private final Loop loop;
     private final Limits limits;
     private InetSocketAddress platform;
-    private final Consumer<Entry> told;
-    private final ArrayDeque<Entry> owed = new ArrayDeque<>();
+    private final Consumer<LedgerEntry> told;
+    private final ArrayDeque<LedgerEntry> owed = new ArrayDeque<>();
     private ServerConnection connection;
     private boolean busy;
     private int underWay;
@@ -33,7 +33,7 @@
     private int atOnce;
 
     /** Sends to this platform; {@code told} hears of each notice that was acknowledged. */
-    public Notices(Loop loop, Limits limits, InetSocketAddress platform, Consumer<Entry> told) {
+    public NoticeSender(Loop loop, Limits limits, InetSocketAddress platform, Consumer<LedgerEntry> told) {
         this.loop = loop;
         this.limits = limits;
         this.platform = platform;
@@ -41,7 +41,7 @@
         atOnce = limits.noticesAtOnce();
     }
 
-    public void add(Entry entry) {
+    public void add(LedgerEntry entry) {
         owed.add(entry);
         next();
     }
@@ -50,7 +50,7 @@
      * What has no answer yet goes again, to the new address: hearing of an end twice does no harm. It goes at once: a
      * pause begun at the old address, or one that closing the connection there brings, is no reason for it to be late.
      */
-    public void move(InetSocketAddress address) {
+    public void setAddress(InetSocketAddress address) {
         platform = address;
         if (connection != null) {
             connection.close(CloseReason.REPLACED);
@@ -63,12 +63,12 @@
     }
 
     /** How many the platform has not heard yet, those under way included. */
-    public int owed() {
+    public int unacknowledgedCount() {
         return owed.size() + underWay;
     }
 
     /** Whether the platform is being told, and has not failed to hear the last time. */
-    public boolean isTelling() {
+    public boolean isSending() {
         return busy && pause == null && backoff == 0;
     }
 
@@ -77,9 +77,9 @@
             return;
         }
         busy = true;
-        List<Entry> batch = new ArrayList<>();
+        List<LedgerEntry> batch = new ArrayList<>();
         while (!owed.isEmpty() && batch.size() < atOnce) {
-            Entry entry = owed.poll();
+            LedgerEntry entry = owed.poll();
             batch.add(entry);
         }
         underWay = batch.size();
@@ -88,7 +88,7 @@
         }
         byte[] request = Writer.request("POST", "/v1/outcomes", platform)
             .with("Content-Type", "application/json").done(Tokens.write(out -> {
-                for (Entry entry : batch) {
+                for (LedgerEntry entry : batch) {
                     line(out, entry);
                 }
             }));
@@ -110,18 +110,18 @@
         });
     }
 
-    private static void line(JsonGenerator out, Entry entry) throws IOException {
+    private static void line(JsonGenerator out, LedgerEntry entry) throws IOException {
         out.writeStartObject();
         out.writeStringField("message", entry.id);
-        out.writeStringField("outcome", entry.handedBack ? "handed_back" : "given_up");
-        if (entry.handedBack && entry.pause > 0) {
-            out.writeNumberField("retry_in_ms", (entry.pause + 999) / 1000);
+        out.writeStringField("outcome", entry.rejected ? "handed_back" : "given_up");
+        if (entry.rejected && entry.retryAfterMicros > 0) {
+            out.writeNumberField("retry_in_ms", (entry.retryAfterMicros + 999) / 1000);
         }
         out.writeEndObject();
         out.writeRaw('\n');
     }
 
-    private void answered(List<Entry> batch, int status) {
+    private void answered(List<LedgerEntry> batch, int status) {
         if (status == 400 && batch.size() > 1) {
             // One that cannot be read must not hold up the others: each goes by itself.
             atOnce = 1;
@@ -143,7 +143,7 @@
         next();
     }
 
-    private void again(List<Entry> batch) {
+    private void again(List<LedgerEntry> batch) {
         underWay = 0;
         for (int i = batch.size() - 1; i >= 0; i--) {
             owed.addFirst(batch.get(i));
--- a/relay/src/main/java/yewpath/relay/Config.java
+++ b/relay/src/main/java/yewpath/relay/Config.java
@@ -10,7 +10,7 @@
 import yewpath.boot.Boot;
 import yewpath.boot.Malformed;
 import yewpath.configuration.Faults;
-import yewpath.directory.Listing;
+import yewpath.directory.EndpointList;
 import yewpath.json.Tokens;
 import yewpath.loop.Limits;
 import yewpath.operator.Operator;
@@ -35,7 +35,7 @@
     public final Boot boot;
     public final Limits limits;
     /** The list of endpoints as last held; null where none is told. */
-    Listing known;
+    EndpointList known;
     /** What the operator's file says, or all at its default. */
     public final Operator operator;
     final String operatorFile;
@@ -53,7 +53,7 @@
         Tokens.read(json, at -> {
             Tokens.object(at, (name, value) -> {
                 if (name.equals("known") && value.currentToken() != JsonToken.VALUE_NULL) {
-                    known = Listing.read(value);
+                    known = EndpointList.read(value);
                 } else if (name.equals("settings")) {
                     Tokens.object(value, (inner, setting) -> Tokens.flatten(inner, setting, settings::put));
                 } else {
@@ -63,8 +63,8 @@
             return null;
         });
         name = pick(environment, flat, "NODE_NAME", "name", "relay");
-        listen = Listing.address(pick(environment, flat, "NODE_LISTEN", "listen", null));
-        discovery = Listing.address(pick(environment, flat, "NODE_DISCOVERY", "discovery", null));
+        listen = EndpointList.parseAddress(pick(environment, flat, "NODE_LISTEN", "listen", null));
+        discovery = EndpointList.parseAddress(pick(environment, flat, "NODE_DISCOVERY", "discovery", null));
         state = Path.of(pick(environment, flat, "NODE_STATE", "state", null));
         String told = flat.getOrDefault("seed", "0");
         if (!told.matches("[0-9a-fA-F]{1,16}")) {
--- a/relay/src/main/java/yewpath/relay/Endpoints.java
+++ b/relay/src/main/java/yewpath/relay/Endpoints.java
@@ -7,12 +7,12 @@
 import yewpath.boot.Boot;
 import yewpath.boot.Names;
 import yewpath.delivery.Delivery;
-import yewpath.directory.Listing;
+import yewpath.directory.EndpointList;
 import yewpath.events.Event;
 import yewpath.events.Log;
 
 /** Turns the list's names into indices and hands it on, to Logic and to where calls are made. */
-final class Endpoints implements Listing.Hearer {
+final class Endpoints implements EndpointList.Listener {
     private static final int UP = 0;
 
     private final Boot boot;
@@ -38,10 +38,10 @@
     }
 
     /** Takes the list that the configuration brings, which may be old, and returns its version. */
-    long start(Listing known) {
+    long start(EndpointList known) {
         starting = true;
         if (known != null) {
-            known.playTo(this);
+            known.notifyListener(this);
         }
         starting = false;
         return known == null ? 0 : known.version;
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void begins(boolean whole) {
+    public void listStarted(boolean whole) {
         unnamed.clear();
         if (whole) {
             unnamed.or(known);
@@ -85,7 +85,8 @@
     }
 
     @Override
-    public void entry(String id, InetSocketAddress address, String zone, String kind, String destination,
+    public void endpointListed(String id, InetSocketAddress address, String zone, String kind,
+        String destination,
         int phase,
         double rate, long since) {
         int at = ids.of(id);
@@ -121,7 +122,7 @@
     }
 
     @Override
-    public void ends() {
+    public void listEnded() {
         unnamed.stream().forEach(delivery::shut);
         logic.listEnds();
     }
--- a/relay/src/main/java/yewpath/relay/HeldMessage.java
+++ b/relay/src/main/java/yewpath/relay/HeldMessage.java
@@ -2,11 +2,11 @@
 
 import yewpath.delivery.Call;
 import yewpath.intake.MessageIntake;
-import yewpath.ledger.Entry;
+import yewpath.ledger.LedgerEntry;
 
 /** One envelope under its index while it is open or a shot of it is out. */
 final class HeldMessage {
-    final Entry entry;
+    final LedgerEntry entry;
     final int index;
     final int key;
     /** Until the client has its answer. */
@@ -23,10 +23,10 @@
     Call call;
     Call.Attempt attempt;
 
-    HeldMessage(Entry entry, int index, int key) {
+    HeldMessage(LedgerEntry entry, int index, int key) {
         this.entry = entry;
         this.index = index;
         this.key = key;
-        shots = entry.shots;
+        shots = entry.attempts;
     }
 }
--- a/relay/src/main/java/yewpath/relay/HeldMessages.java
+++ b/relay/src/main/java/yewpath/relay/HeldMessages.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import yewpath.boot.Keys;
 import yewpath.boot.Names;
-import yewpath.ledger.Entry;
+import yewpath.ledger.LedgerEntry;
 
 /** The envelopes held, under small indices that are used again once nothing of an envelope is left. */
 final class HeldMessages {
@@ -28,7 +28,7 @@
         return held[index];
     }
 
-    HeldMessage add(Entry entry, long now) {
+    HeldMessage add(LedgerEntry entry, long now) {
         int index = ids.of(entry.id);
         held = index >= held.length ? Arrays.copyOf(held, index * 2) : held;
         held[index] = new HeldMessage(entry, index, entry.key == null ? -1 : keys.hold(entry.key, now));
--- a/relay/src/main/java/yewpath/relay/LedgerWriter.java
+++ b/relay/src/main/java/yewpath/relay/LedgerWriter.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import yewpath.ledger.Entry;
+import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
 import yewpath.loop.Loop;
 
@@ -17,12 +17,12 @@
 
     private final Loop loop;
     private final Ledger ledger;
-    private final Consumer<Entry> tell;
-    private final Set<Entry> unwrittenEnds = new LinkedHashSet<>();
+    private final Consumer<LedgerEntry> tell;
+    private final Set<LedgerEntry> unwrittenEnds = new LinkedHashSet<>();
     private long writeAgainAt;
 
     /** {@code tell} is handed the ends that may be told. */
-    LedgerWriter(Loop loop, Ledger ledger, Consumer<Entry> tell) {
+    LedgerWriter(Loop loop, Ledger ledger, Consumer<LedgerEntry> tell) {
         this.loop = loop;
         this.ledger = ledger;
         this.tell = tell;
@@ -58,13 +58,13 @@
      * An end that is not written down could be forgotten by a restart, and the message tried after its end was told; once
      * its time is up nobody tries it any more.
      */
-    void tellOnceWritten(Entry entry) {
+    void tellOnceWritten(LedgerEntry entry) {
         if (ledger.isWritable()) {
             tell.accept(entry);
             return;
         }
         unwrittenEnds.add(entry);
-        loop.after(entry.expiry - loop.now(), () -> {
+        loop.after(entry.deadlineMicros - loop.now(), () -> {
             if (unwrittenEnds.remove(entry)) {
                 tell.accept(entry);
             }
@@ -72,7 +72,7 @@
     }
 
     private void checkFolder() {
-        ledger.checkPlace();
+        ledger.checkFileReplaced();
         if (!ledger.isWritable()) {
             loop.ask();
         }
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -13,17 +13,17 @@
 import yewpath.boot.Boot;
 import yewpath.delivery.Call;
 import yewpath.delivery.Delivery;
-import yewpath.directory.Watch;
+import yewpath.directory.DiscoveryClient;
 import yewpath.events.Event;
 import yewpath.events.Log;
 import yewpath.intake.MessageIntake;
 import yewpath.intake.ClientListener;
 import yewpath.json.Tokens;
-import yewpath.ledger.Entry;
+import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
-import yewpath.outcome.Notices;
+import yewpath.outcome.NoticeSender;
 
 /**
  * The one that speaks with Logic. A round: what was gathered is handed in, Logic closes the round, the ledger
@@ -52,9 +52,9 @@
     private final Boot boot;
     private final Logic logic;
     private final Delivery delivery;
-    private final Notices notices;
+    private final NoticeSender notices;
     private final Endpoints endpoints;
-    private final Watch watch;
+    private final DiscoveryClient watch;
     private final HeldMessages envelopes;
     private final KeyOrder keyOrder = new KeyOrder();
     private final Shutdown closing;
@@ -80,7 +80,7 @@
         Limits limits = config.limits;
         Settings settings = boot.settings;
         unknownOffering = settings.offerings.length;
-        if (ledger.live().stream().anyMatch(entry -> boot.offerings.find(entry.offering) < 0)) {
+        if (ledger.entries().stream().anyMatch(entry -> boot.offerings.find(entry.messageClass) < 0)) {
             addUnknown(settings);
         }
         // A call that finds all connections in use would have none: what Logic may have out is what can be held.
@@ -89,18 +89,18 @@
         tellsPause = settings.tellsPause;
         envelopes = new HeldMessages(settings.settleAfterDoubt);
         closing = new Shutdown(loop, limits);
-        notices = new Notices(loop, limits, config.discovery, this::told);
+        notices = new NoticeSender(loop, limits, config.discovery, this::told);
         ledgerWriter = new LedgerWriter(loop, ledger, notices::add);
         delivery = new Delivery(loop, limits, boot.reportFields, ledgerWriter::flush);
         loop.eachRound(this::round);
         logic = new Logic(settings, config.seed, this, loop.now());
         endpoints = new Endpoints(boot, logic, delivery);
-        watch = new Watch(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
+        watch = new DiscoveryClient(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
             settings.listAsked ? () -> loop.gather(logic::listFailed) : null);
         if (!settings.listAsked) {
-            watch.follow();
+            watch.startWatch();
         }
-        ledger.live().forEach(this::restore);
+        ledger.entries().forEach(this::restore);
         listBy = settings.listAsked ? 0 : loop.now() + limits.connectWithin();
         loop.after(limits.connectWithin(), loop::ask);
         loop.ask();
@@ -131,23 +131,24 @@
             Settings.Kind.ONCE_ONLY, false, 0, true);
     }
 
-    private void restore(Entry entry) {
+    private void restore(LedgerEntry entry) {
         if (entry.noticeOwed) {
             owe(entry);
             return;
         }
-        int offering = boot.offerings.find(entry.offering);
+        int offering = boot.offerings.find(entry.messageClass);
         hand(envelopes.add(entry, loop.now()), offering < 0 ? unknownOffering : offering,
-            boot.zones.of(entry.doubtZone));
+            boot.zones.of(entry.uncertainZone));
         if (Log.tells(Event.ENVELOPE_RESTORED)) {
-            Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.shots, entry.doubtSince >= 0);
+            Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.attempts, entry.uncertainSinceMicros >= 0);
         }
     }
 
     private void hand(HeldMessage one, int offering, int doubtZone) {
-        Entry entry = one.entry;
+        LedgerEntry entry = one.entry;
         logic.taken(one.index, offering, entry.tenant == null ? -1 : boot.tenants.find(entry.tenant), one.key,
-            endpoints.destination(entry.destination), entry.expiry, entry.shots, entry.doubtSince, doubtZone);
+            endpoints.destination(entry.destination), entry.deadlineMicros, entry.attempts,
+            entry.uncertainSinceMicros, doubtZone);
     }
 
     // ---- Rounds
@@ -209,8 +210,8 @@
             out.writeNumberField("open", envelopes.open());
             out.writeNumberField("calls_out", delivery.callsOut());
             out.writeNumberField("endpoint_links", delivery.links());
-            out.writeNumberField("notices_owed", notices.owed());
-            out.writeNumberField("ledger_bytes", ledger.bytes());
+            out.writeNumberField("notices_owed", notices.unacknowledgedCount());
+            out.writeNumberField("ledger_bytes", ledger.fileBytes());
             out.writeBooleanField("ledger_writable", ledger.isWritable());
             out.writeNumberField("rounds", rounds);
             out.writeNumberField("taken", takenEver);
@@ -240,9 +241,9 @@
             reply.with(202, 0);
             return;
         }
-        Entry entry = ledger.draft(id, offering, tenant, key, tag, destination, expiry, body);
+        LedgerEntry entry = ledger.createEntry(id, offering, tenant, key, tag, destination, expiry, body);
         String refusal = isClosing() ? "closing" : !ledger.isWritable() ? "disk"
-            : envelopes.open() >= holdLimit ? "hold" : !ledger.hasRoom(entry) ? "ledger"
+            : envelopes.open() >= holdLimit ? "hold" : !ledger.hasRoomFor(entry) ? "ledger"
                 // Held, it would take the room of others until its expiry, and each such number would be kept for good; but
                 // the list that names it may only be late, so the client is to come again.
                 : !endpoints.knowsDestination(destination) ? "unlisted" : null;
@@ -251,7 +252,7 @@
             return;
         }
         // Written down at once, so that the next of the same round finds what room is left.
-        ledger.taken(entry);
+        ledger.recordAccepted(entry);
         HeldMessage one = envelopes.add(entry, loop.now());
         one.reply = reply;
         taken.add(one);
@@ -297,7 +298,7 @@
     private void letGo(HeldMessage one) {
         if (!one.over) {
             logic.withdrawn(one.index);
-            ledger.over(one.entry);
+            ledger.recordCompleted(one.entry);
             envelopes.end(one, loop.now());
         }
     }
@@ -310,8 +311,8 @@
         one.leaveBy = leaveBy;
         one.shotsOut++;
         one.shots++;
-        long endsAt = withinMicros > 0 ? Math.min(one.entry.expiry, loop.now() + withinMicros)
-            : one.entry.expiry;
+        long endsAt = withinMicros > 0 ? Math.min(one.entry.deadlineMicros, loop.now() + withinMicros)
+            : one.entry.deadlineMicros;
         Sending sending = joining.get(endpoint);
         if (sending == null || sending.carried.size() >= endpoints.bundle(endpoint)) {
             Sending begun = new Sending(endpoint);
@@ -345,8 +346,8 @@
     }
 
     /** One of an offering that is not known any more may have been. */
-    private boolean isOrdered(Entry entry) {
-        int offering = boot.offerings.find(entry.offering);
+    private boolean isOrdered(LedgerEntry entry) {
+        int offering = boot.offerings.find(entry.messageClass);
         return entry.key != null && (offering < 0 || boot.settings.offerings[offering].ordered());
     }
 
@@ -375,7 +376,7 @@
 
         @Override
         public String tag() {
-            return one.entry.tag;
+            return one.entry.idempotencyKey;
         }
 
         @Override
@@ -385,7 +386,7 @@
 
         @Override
         public long expiry() {
-            return one.entry.expiry;
+            return one.entry.deadlineMicros;
         }
 
         @Override
@@ -395,7 +396,7 @@
 
         @Override
         public void leaving() {
-            ledger.shot(one.entry, loop.now(), endpoints.zone(endpoint));
+            ledger.recordAttempt(one.entry, loop.now(), endpoints.zone(endpoint));
             if (Log.tells(Event.ENVELOPE_SHOT)) {
                 Log.tell(Event.ENVELOPE_SHOT, one.entry.id, number, endpoints.name(endpoint));
             }
@@ -421,9 +422,10 @@
         private void settle(int outcome, long wait, boolean over, long elapsed, double left, double limit) {
             if (over && !one.over) {
                 fulfilledEver += outcome == FULFILLED ? 1 : 0;
-                ledger.over(one.entry);
+                ledger.recordCompleted(one.entry);
             } else if (!one.over) {
-                ledger.back(one.entry, outcome == FULL || outcome == UNREACHED || outcome == MOOT);
+                ledger.recordAttemptEnded(one.entry,
+                    outcome == FULL || outcome == UNREACHED || outcome == MOOT);
             }
             one.call = null;
             if (Log.tells(Event.ENVELOPE_BACK)) {
@@ -501,23 +503,23 @@
         envelopes.end(one, loop.now());
         if (one.reply != null) {
             Reply reply = one.reply;
-            ledger.over(one.entry);
+            ledger.recordCompleted(one.entry);
             acts.add(() -> reply.with(handedBack ? 503 : 500, pause));
         } else {
-            ledger.owed(one.entry, handedBack, pause);
+            ledger.recordNoticeOwed(one.entry, handedBack, pause);
             acts.add(() -> owe(one.entry));
         }
     }
 
-    private void owe(Entry entry) {
+    private void owe(LedgerEntry entry) {
         if (isOrdered(entry)) {
             keyOrder.begin(entry.key, entry);
         }
         ledgerWriter.tellOnceWritten(entry);
     }
 
-    private void told(Entry entry) {
-        ledger.over(entry);
+    private void told(LedgerEntry entry) {
+        ledger.recordCompleted(entry);
         keyOrder.end(entry);
         loop.ask();
     }
@@ -531,20 +533,20 @@
 
     @Override
     public void list(boolean follow) {
-        acts.add(follow ? watch::follow : watch::fetch);
+        acts.add(follow ? watch::startWatch : watch::fetchList);
     }
 
     /** Held envelopes, calls and clients know nothing of it. */
     void discoveryAt(InetSocketAddress address) {
-        watch.move(address);
-        notices.move(address);
+        watch.setAddress(address);
+        notices.setAddress(address);
     }
 
     // ---- Closing
 
     void close(ClientListener listener, CountDownLatch gone) {
         Log.tell(Event.RELAY_CLOSING, envelopes.open(), delivery.callsOut());
-        closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isTelling(),
+        closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isSending(),
             () -> envelopes.open() > 0,
             gone);
     }
--- a/relay/src/main/java/yewpath/relay/TrialStart.java
+++ b/relay/src/main/java/yewpath/relay/TrialStart.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import yewpath.directory.Listing;
+import yewpath.directory.EndpointList;
 
 /**
  * A start on trial: tells whether a configuration serves. The build runs it too, so that the classes a start
@@ -29,7 +29,7 @@
         aside.put("NODE_STATE", state.toString());
         Config config = Config.read(file, operatorFile, aside);
         // A destination that exists, and an endpoint to which nothing is sent.
-        config.known = Listing
+        config.known = EndpointList
             .read(("{\"version\":0,\"full\":true,\"servers\":[{\"id\":\"check\",\"addr\":\"127.0.0.1:1\","
                 + "\"zone\":\"check\",\"kind\":\"check\",\"cell\":0,\"state\":\"draining\",\"weight\":1.0,"
                 + "\"started_ms\":0}]}").getBytes(StandardCharsets.UTF_8));
--- a/relay/src/test/java/yewpath/RestartTest.java
+++ b/relay/src/test/java/yewpath/RestartTest.java
@@ -23,7 +23,7 @@
 import java.util.function.Function;
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
-import yewpath.ledger.Entry;
+import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
 import yewpath.loop.ClockReading;
 
@@ -421,15 +421,15 @@
         Path folder = stand.folder.resolve("cut");
         Ledger ledger = new Ledger(folder, 400_000, 600_000, 512, NOW);
         int clockLength = (int) Files.size(folder.resolve("ledger"));
-        Entry first = ledger.draft("i1", "order", null, "k", "t-1", "7", 99,
+        LedgerEntry first = ledger.createEntry("i1", "order", null, "k", "t-1", "7", 99,
             "abc".getBytes(StandardCharsets.UTF_8));
-        Entry second = ledger.draft("i2", "order", "t", null, null, "8", 99, new byte[0]);
-        ledger.taken(first);
+        LedgerEntry second = ledger.createEntry("i2", "order", "t", null, null, "8", 99, new byte[0]);
+        ledger.recordAccepted(first);
         ledger.flush();
         long one = Files.size(folder.resolve("ledger"));
-        ledger.taken(second);
-        ledger.shot(first, 50, "z");
-        ledger.owed(second, true, 1234);
+        ledger.recordAccepted(second);
+        ledger.recordAttempt(first, 50, "z");
+        ledger.recordNoticeOwed(second, true, 1234);
         ledger.flush();
         byte[] whole = Files.readAllBytes(folder.resolve("ledger"));
         for (int length = 0; length <= whole.length; length++) {
@@ -437,15 +437,18 @@
             Ledger cut = new Ledger(folder, 400_000, 600_000, 512, NOW);
             assertEquals(cut.size() >= 1, length >= one, "cut at " + length);
             if (length == whole.length) {
-                Entry back = cut.live().iterator().next();
+                LedgerEntry back = cut.entries().iterator().next();
                 assertEquals(
-                    back.shots + " " + back.doubtSince + back.doubtZone + " " + new String(back.body)
-                        + back.tag,
+                    back.attempts + " " + back.uncertainSinceMicros + back.uncertainZone + " "
+                        + new String(back.body)
+                        + back.idempotencyKey,
                     "1 50z abct-1");
-                assertTrue(cut.live().stream().anyMatch(e -> e.id.equals("i2") && e.tag == null),
+                assertTrue(
+                    cut.entries().stream().anyMatch(e -> e.id.equals("i2") && e.idempotencyKey == null),
                     "a tag nobody gave");
                 assertTrue(
-                    cut.live().stream().anyMatch(e -> e.noticeOwed && e.handedBack && e.pause == 1234));
+                    cut.entries().stream()
+                        .anyMatch(e -> e.noticeOwed && e.rejected && e.retryAfterMicros == 1234));
             }
         }
         whole[clockLength + 20] ^= 1;
--- a/relay/src/test/java/yewpath/ledger/LedgerTest.java
+++ b/relay/src/test/java/yewpath/ledger/LedgerTest.java
@@ -30,9 +30,9 @@
         return new Ledger(folder, 400_000, 600_000, 512, NOW);
     }
 
-    private static Entry take(Ledger ledger, String id) {
-        Entry entry = ledger.draft(id, "order", null, null, null, "7", 99, new byte[20]);
-        ledger.taken(entry);
+    private static LedgerEntry take(Ledger ledger, String id) {
+        LedgerEntry entry = ledger.createEntry(id, "order", null, null, null, "7", 99, new byte[20]);
+        ledger.recordAccepted(entry);
         return entry;
     }
 
@@ -53,11 +53,11 @@
     @Test
     public void whatWasDiscardedIsNotWritten() throws IOException {
         Ledger ledger = open();
-        Entry refused = take(ledger, "refused");
+        LedgerEntry refused = take(ledger, "refused");
         take(ledger, "kept");
         ledger.discard(refused);
         assertTrue(ledger.flush());
-        assertEquals(open().live().iterator().next().id, "kept");
+        assertEquals(open().entries().iterator().next().id, "kept");
         assertEquals(open().size(), 1);
     }
 
@@ -78,10 +78,10 @@
         byte[] bytes = Files.readAllBytes(file);
         int at = 0;
         while (at < bytes.length) {
-            if (bytes[at + Records.FRAME] == Ledger.BATCH) {
+            if (bytes[at + RecordFormat.FRAME] == Ledger.BATCH) {
                 return true;
             }
-            at += Records.FRAME + ByteBuffer.wrap(bytes).getInt(at);
+            at += RecordFormat.FRAME + ByteBuffer.wrap(bytes).getInt(at);
         }
         return false;
     }
