--- a/relay/src/main/java/yewpath/ledger/Ledger.java
+++ b/relay/src/main/java/yewpath/ledger/Ledger.java
@@ -14,157 +14,198 @@
 import yewpath.loop.ClockReading;
 
 /**
- * What outlives the process: one record after another, each with its length and checksum. What was written before a
- * kill is there afterwards, without any sync; a record cut short is dropped. While the folder cannot be written, records
- * stay pending and nothing that rests on them may leave.
+ * The write-ahead log of accepted messages and their attempts. Each record in the file has its length and
+ * checksum; a record that was cut short is dropped when the file is replayed. Written records survive a kill
+ * of the process without an fsync, because the operating system already holds them. While the state folder
+ * cannot be written, records stay pending, and the caller must not send anything that depends on them.
+ *
+ * <p>Not thread-safe.
  */
 public final class Ledger {
-    static final byte TAKEN = 1;
-    static final byte SHOT = 2;
-    static final byte BACK = 3;
-    static final byte OWED = 4;
-    static final byte OVER = 5;
-    static final byte CLOCK = 6;
-    static final byte BATCH = 7;
+    /** A message was accepted. */
+    static final byte TYPE_ACCEPTED = 1;
+    /** An attempt is about to be sent. */
+    static final byte TYPE_ATTEMPT_STARTED = 2;
+    /** An attempt ended without delivery. */
+    static final byte TYPE_ATTEMPT_ENDED = 3;
+    /** The message ended without delivery, and the platform has to be notified. */
+    static final byte TYPE_NOTICE_OWED = 4;
+    /** Nothing is left to do for the message. */
+    static final byte TYPE_COMPLETED = 5;
+    /** The clock of the process that wrote the records that follow. */
+    static final byte TYPE_CLOCK = 6;
+    /** Several records that are replayed together or not at all. */
+    static final byte TYPE_BATCH = 7;
 
-    /** A record that is not written yet, and the number of the entry it is about. */
-    private record Pending(long number, byte[] bytes) {}
+    /** A record that is not written yet, and the number of the entry that it belongs to. */
+    private record PendingRecord(long number, byte[] bytes) {}
 
     private final LedgerFile file;
-    private final long liveMost;
-    private final long anewAt;
-    /** Shots and ends of an envelope taken on must always find room: set aside for each from the start. */
-    private final int aside;
-    /** In whose time all entries are. */
+    private final long maxLiveBytes;
+    private final long compactAtBytes;
+    /** Reserved when an entry is created, so that the later records of an accepted message always fit. */
+    private final int reservedBytesPerEntry;
+    /** The clock that the times of all entries refer to. */
     private ClockReading clock;
-    private final Map<Long, LedgerEntry> live = new LinkedHashMap<>();
-    private final List<Pending> pending = new ArrayList<>();
+    private final Map<Long, LedgerEntry> entries = new LinkedHashMap<>();
+    private final List<PendingRecord> pending = new ArrayList<>();
     private int pendingBytes;
     private boolean writable = true;
     private boolean closed;
     private long liveBytes;
     private long lastNumber;
 
-    /** Replays what an earlier process left in a folder; fails only where that cannot be read. */
-    public Ledger(Path folder, long liveMost, long anewAt, int aside, ClockReading now) throws IOException {
-        this.liveMost = liveMost;
-        this.anewAt = anewAt;
-        this.aside = aside;
+    /**
+     * Opens the ledger in a folder, which is created if needed, and replays what an earlier process left
+     * there. Then rewrites the file; if that fails the ledger starts as not writable.
+     *
+     * @param maxLiveBytes the limit on the reserved size of all entries together
+     * @param compactAtBytes the file is rewritten instead of growing beyond this size
+     * @param reservedBytesPerEntry the room kept for the records that follow the acceptance of a message
+     * @param now the current reading of this process's clock, to which the replayed times are converted
+     * @throws IOException if the folder cannot be created or the existing file cannot be read
+     */
+    public Ledger(Path folder, long maxLiveBytes, long compactAtBytes, int reservedBytesPerEntry,
+        ClockReading now) throws IOException {
+        this.maxLiveBytes = maxLiveBytes;
+        this.compactAtBytes = compactAtBytes;
+        this.reservedBytesPerEntry = reservedBytesPerEntry;
         file = new LedgerFile(folder);
-        long torn = file.replay(this::restore);
-        if (torn > 0) {
-            Log.tell(Event.LEDGER_TORN, torn);
+        long incompleteBytes = file.replay(this::restore);
+        if (incompleteBytes > 0) {
+            Log.tell(Event.LEDGER_TORN, incompleteBytes);
         }
-        takeOver(now);
+        adoptEntries(now);
         rewrite();
     }
 
+    /** Returns a copy of the list of live entries, in the order of their acceptance. */
     public Collection<LedgerEntry> entries() {
-        return new ArrayList<>(live.values());
+        return new ArrayList<>(entries.values());
     }
 
+    /** Returns the number of live entries. */
     public int size() {
-        return live.size();
+        return entries.size();
     }
 
+    /** Returns the size of the file in bytes. */
     public long fileBytes() {
         return file.length();
     }
 
-    /** Whether one more envelope could be kept to its end. */
-    public boolean hasRoomFor(LedgerEntry e) {
-        return liveBytes + e.room <= liveMost;
+    /** Returns whether this entry and its later records fit within the limit on live entries. */
+    public boolean hasRoomFor(LedgerEntry entry) {
+        return liveBytes + entry.reservedBytes <= maxLiveBytes;
     }
 
-    /** Creates an entry that is not part of the log yet. */
-    public LedgerEntry createEntry(String id, String offering, String tenant, String key, String tag,
-        String destination,
-        long expiry, byte[] body) {
-        LedgerEntry e = new LedgerEntry(++lastNumber, id, offering, tenant, key, tag, destination, expiry,
-            body);
-        e.room = RecordFormat.taken(e).length + aside;
-        return e;
+    /**
+     * Creates an entry with the next number; it is not part of the ledger until its acceptance is recorded.
+     */
+    public LedgerEntry createEntry(String id, String messageClass, String tenant, String key,
+        String idempotencyKey, String destination, long deadlineMicros, byte[] body) {
+        LedgerEntry entry = new LedgerEntry(++lastNumber, id, messageClass, tenant, key, idempotencyKey,
+            destination, deadlineMicros, body);
+        entry.reservedBytes = RecordFormat.accepted(entry).length + reservedBytesPerEntry;
+        return entry;
     }
 
-    public void recordAccepted(LedgerEntry e) {
-        add(e);
-        append(e, RecordFormat.taken(e));
+    /** Adds an entry and records that its message was accepted. */
+    public void recordAccepted(LedgerEntry entry) {
+        add(entry);
+        append(entry, RecordFormat.accepted(entry));
     }
 
-    /** RecordFormat that an attempt is about to leave, before its first byte does. */
-    public void recordAttempt(LedgerEntry e, long at, String zone) {
-        e.attempts++;
-        e.attemptStartedMicros = at;
-        e.attemptZone = zone;
-        append(e, RecordFormat.shot(e));
+    /** Records an attempt; must be called and flushed before the first byte of the attempt is sent. */
+    public void recordAttempt(LedgerEntry entry, long startedMicros, String zone) {
+        entry.attempts++;
+        entry.attemptStartedMicros = startedMicros;
+        entry.attemptZone = zone;
+        append(entry, RecordFormat.attemptStarted(entry));
     }
 
-    /** The shot that was out has come to its end. */
-    public void recordAttemptEnded(LedgerEntry e, boolean neverRan) {
-        if (e.attemptStartedMicros < 0) {
+    /**
+     * Records that the attempt in progress ended without delivery; does nothing if there is none.
+     *
+     * @param neverProcessed whether it is certain that the endpoint did not process the message
+     */
+    public void recordAttemptEnded(LedgerEntry entry, boolean neverProcessed) {
+        if (entry.attemptStartedMicros < 0) {
             return;
         }
-        if (neverRan) {
-            e.attemptStartedMicros = -1;
+        if (neverProcessed) {
+            entry.attemptStartedMicros = -1;
         }
-        e.outIsDoubt();
-        append(e, RecordFormat.back(e, neverRan));
+        entry.endAttemptAsUncertain();
+        append(entry, RecordFormat.attemptEnded(entry, neverProcessed));
     }
 
-    /** RecordFormat that the message ended without delivery and its notice is owed. */
-    public void recordNoticeOwed(LedgerEntry e, boolean handedBack, long pause) {
-        e.noticeOwed = true;
-        e.rejected = handedBack;
-        e.retryAfterMicros = pause;
-        dropBody(e);
-        append(e, RecordFormat.owed(e));
+    /**
+     * Records that the message ended without delivery and that the platform has to be notified; drops its
+     * body.
+     */
+    public void recordNoticeOwed(LedgerEntry entry, boolean rejected, long retryAfterMicros) {
+        entry.noticeOwed = true;
+        entry.rejected = rejected;
+        entry.retryAfterMicros = retryAfterMicros;
+        dropBody(entry);
+        append(entry, RecordFormat.noticeOwed(entry));
     }
 
-    private void add(LedgerEntry e) {
-        live.put(e.number, e);
-        liveBytes += e.room;
+    private void add(LedgerEntry entry) {
+        entries.put(entry.number, entry);
+        liveBytes += entry.reservedBytes;
     }
 
-    private boolean remove(LedgerEntry e) {
-        boolean was = live.remove(e.number) != null;
-        liveBytes -= was ? e.room : 0;
-        return was;
+    private boolean remove(LedgerEntry entry) {
+        boolean wasLive = entries.remove(entry.number) != null;
+        liveBytes -= wasLive ? entry.reservedBytes : 0;
+        return wasLive;
     }
 
-    private void dropBody(LedgerEntry e) {
-        liveBytes -= e.body.length;
-        e.room -= e.body.length;
-        e.body = new byte[0];
+    private void dropBody(LedgerEntry entry) {
+        liveBytes -= entry.body.length;
+        entry.reservedBytes -= entry.body.length;
+        entry.body = new byte[0];
     }
 
-    /** RecordFormat that nothing is owed for the message any more. */
-    public void recordCompleted(LedgerEntry e) {
-        if (remove(e)) {
-            append(e, RecordFormat.over(e));
+    /**
+     * Removes an entry and records that nothing is left to do for its message; does nothing if it is not
+     * live.
+     */
+    public void recordCompleted(LedgerEntry entry) {
+        if (remove(entry)) {
+            append(entry, RecordFormat.completed(entry));
         }
     }
 
-    /** Takes back an entry of which no record is written yet. */
-    public void discard(LedgerEntry e) {
-        remove(e);
-        pending.removeIf(record -> record.number == e.number);
+    /** Removes an entry together with its pending records; none of its records may have been written yet. */
+    public void discard(LedgerEntry entry) {
+        remove(entry);
+        pending.removeIf(record -> record.number == entry.number);
         pendingBytes = pending.stream().mapToInt(record -> record.bytes.length).sum();
     }
 
-    private void append(LedgerEntry e, byte[] record) {
-        pending.add(new Pending(e.number, record));
+    private void append(LedgerEntry entry, byte[] record) {
+        pending.add(new PendingRecord(entry.number, record));
         pendingBytes += record.length;
     }
 
-    /** Whether the last write succeeded. */
+    /** Returns whether the last write succeeded and the ledger is not closed. */
     public boolean isWritable() {
         return writable;
     }
 
-    /** Hands all records to the system; where that fails they stay pending, and nothing may leave that rests on them. */
+    /**
+     * Writes all pending records, or the whole file anew where it would grow too large or where the last
+     * write failed. If it fails the records stay pending, and nothing that depends on them may be sent.
+     *
+     * @return whether all records are written
+     */
     public boolean flush() {
         if (!closed && (!writable || pendingBytes > 0)) {
-            boolean fits = pendingBytes < RecordFormat.LONGEST && file.length() + pendingBytes <= anewAt;
+            boolean fits = pendingBytes < RecordFormat.MAX_RECORD_BYTES
+                && file.length() + pendingBytes <= compactAtBytes;
             if (writable && file.canAppend() && fits) {
                 appendPending();
             } else {
@@ -174,7 +215,9 @@
         return writable;
     }
 
-    /** Leaves a file without batches, which earlier versions of the program can take up. */
+    /**
+     * Rewrites the file without batch records, which earlier versions of the program skip when they read it.
+     */
     public void compact() {
         if (!closed) {
             rewrite();
@@ -183,102 +226,109 @@
 
     private void appendPending() {
         try {
-            file.append(RecordFormat.batch(pending.stream().map(Pending::bytes).toList()));
-            written();
+            file.append(RecordFormat.batch(pending.stream().map(PendingRecord::bytes).toList()));
+            writeSucceeded();
         } catch (IOException e) {
-            failed(e);
+            writeFailed(e);
         }
     }
 
-    /** Writes what is live in place of the file. */
+    /** Replaces the file by one that holds only the live entries. */
     private void rewrite() {
-        long begun = System.nanoTime();
-        long before = file.length();
+        long startNanos = System.nanoTime();
+        long bytesBefore = file.length();
         Stream<byte[]> records = Stream.concat(Stream.of(RecordFormat.clock(clock)),
-            live.values().stream().map(RecordFormat::whole));
+            entries.values().stream().map(RecordFormat::entireEntry));
         try {
             file.replace(records::iterator);
-            if (before > 0) {
-                Log.tell(Event.LEDGER_COMPACTED, before, file.length(), live.size(),
-                    (System.nanoTime() - begun) / 1_000_000);
+            if (bytesBefore > 0) {
+                Log.tell(Event.LEDGER_COMPACTED, bytesBefore, file.length(), entries.size(),
+                    (System.nanoTime() - startNanos) / 1_000_000);
             }
-            written();
+            writeSucceeded();
         } catch (IOException e) {
-            failed(e);
+            writeFailed(e);
         }
     }
 
-    private void written() {
+    private void writeSucceeded() {
         pending.clear();
         pendingBytes = 0;
         if (!writable) {
-            Log.tell(Event.LEDGER_RECOVERED, live.size());
+            Log.tell(Event.LEDGER_RECOVERED, entries.size());
         }
         writable = true;
     }
 
-    private void failed(IOException e) {
+    private void writeFailed(IOException e) {
         if (writable) {
             Log.tell(Event.LEDGER_FAILED, e);
         }
         writable = false;
     }
 
-    /** Writes nothing any more. */
+    /** Closes the file; later calls of {@link #flush} write nothing and return false. */
     public void close() {
         closed = true;
         writable = false;
-        file.abandon();
+        file.close();
     }
 
-    /** Notices a folder that was replaced under this process; the next flush writes all into the new one. */
+    /**
+     * Checks whether the state folder or the file was replaced while this process runs. If so, the ledger
+     * counts as not writable, and the next flush writes all live entries into the new folder.
+     */
     public void checkFileReplaced() {
         if (writable && !file.isInPlace()) {
-            Log.tell(Event.LEDGER_REPLACED, live.size());
-            file.abandon();
+            Log.tell(Event.LEDGER_REPLACED, entries.size());
+            file.close();
             writable = false;
         }
     }
 
-    /** What was read so far is from an earlier process: in its time, and what was out may have run, and may yet. */
-    private void takeOver(ClockReading next) {
-        long offset = clock == null ? 0 : next.offsetFrom(clock);
-        for (LedgerEntry entry : live.values()) {
-            entry.shiftTimes(offset);
-            entry.outIsDoubt();
+    /**
+     * Adopts the entries of an earlier process: converts their times to the given clock, and treats each
+     * attempt that was in progress as one that the endpoint may have processed or may still process.
+     */
+    private void adoptEntries(ClockReading newClock) {
+        long offsetMicros = clock == null ? 0 : newClock.offsetFrom(clock);
+        for (LedgerEntry entry : entries.values()) {
+            entry.shiftTimes(offsetMicros);
+            entry.endAttemptAsUncertain();
         }
-        clock = next;
+        clock = newClock;
     }
 
+    /** Applies one record of the file that is being replayed. */
     private void restore(byte type, ByteBuffer fields) {
         long number = fields.getLong();
-        if (type == CLOCK) {
-            takeOver(RecordFormat.readClock(fields));
+        if (type == TYPE_CLOCK) {
+            adoptEntries(RecordFormat.readClock(fields));
             return;
         }
         lastNumber = Math.max(lastNumber, number);
-        if (type == TAKEN) {
-            LedgerEntry e = RecordFormat.readTaken(number, fields);
-            e.room = RecordFormat.taken(e).length + aside;
-            add(e);
+        if (type == TYPE_ACCEPTED) {
+            LedgerEntry accepted = RecordFormat.readAccepted(number, fields);
+            accepted.reservedBytes = RecordFormat.accepted(accepted).length + reservedBytesPerEntry;
+            add(accepted);
             return;
         }
-        LedgerEntry e = live.get(number);
-        if (e == null) {
+        LedgerEntry entry = entries.get(number);
+        if (entry == null) {
             return;
         }
         switch (type) {
-            case SHOT -> RecordFormat.readShot(e, fields);
-            case BACK -> {
-                e.attemptStartedMicros = fields.get() == 1 ? -1 : e.attemptStartedMicros;
-                e.outIsDoubt();
+            case TYPE_ATTEMPT_STARTED -> RecordFormat.readAttemptStarted(entry, fields);
+            case TYPE_ATTEMPT_ENDED -> {
+                entry.attemptStartedMicros = fields.get() == 1 ? -1 : entry.attemptStartedMicros;
+                entry.endAttemptAsUncertain();
             }
-            case OWED -> {
-                RecordFormat.readOwed(e, fields);
-                dropBody(e);
+            case TYPE_NOTICE_OWED -> {
+                RecordFormat.readNoticeOwed(entry, fields);
+                dropBody(entry);
             }
-            case OVER -> remove(e);
-            default -> throw new IllegalArgumentException("no such type of record");
+            case TYPE_COMPLETED -> remove(entry);
+            default -> throw new IllegalArgumentException("unknown ledger record type");
         }
     }
 }
--- a/relay/src/main/java/yewpath/ledger/LedgerEntry.java
+++ b/relay/src/main/java/yewpath/ledger/LedgerEntry.java
@@ -1,37 +1,58 @@
 package yewpath.ledger;
 
-/** What the ledger knows of one envelope, from its taking on until nothing more is owed. */
+/**
+ * The state of one accepted message, from its acceptance until it is delivered or its notice is acknowledged.
+ * Times are Unix microseconds by the clock of this process.
+ */
 public final class LedgerEntry {
+    /** Identifies the entry in the records of the file; unique within one ledger. */
     public final long number;
+    /** The request id that the client gave the message. */
     public final String id;
     public final String messageClass;
+    /** Null where the client named no tenant. */
     public final String tenant;
+    /** The ordering and affinity key; null where the client gave none. */
     public final String key;
-    /** By which an endpoint knows a tagged envelope again, as its client gave it; null where none was given. */
+    /**
+     * The client's key by which an endpoint recognises a repeated message; null where the client gave none.
+     */
     public final String idempotencyKey;
     public final String destination;
+    /** No attempt is made after this time. */
     public long deadlineMicros;
-    /** What it takes of the ledger's room, with what is set aside for its attempts and its end. */
-    int room;
-    /** Dropped once only a notice is owed. */
+    /** Counted against the size limit of live entries; includes a reserve for the entry's later records. */
+    int reservedBytes;
+    /** Empty once only the notice is still owed. */
     public byte[] body;
+    /** The number of attempts started so far. */
     public int attempts;
-    /** When the first shot that may have run went out, and in which zone; -1 while none can have. */
+    /** When the first attempt that the endpoint may have processed was sent; -1 if there was none. */
     public long uncertainSinceMicros = -1;
+    /** The zone of the endpoint of that attempt; empty if there was none. */
     public String uncertainZone = "";
-    /** When the shot now out went; -1 while none is. */
+    /** When the attempt in progress was sent; -1 if no attempt is in progress. */
     public long attemptStartedMicros = -1;
+    /** The zone of the endpoint of the latest attempt; empty if there was none. */
     public String attemptZone = "";
+    /**
+     * Whether the message ended without delivery and the platform has not acknowledged the notice of that.
+     */
     public boolean noticeOwed;
-    /** Whether the notice hands the envelope back, and for how long the client is to stay away. */
+    /**
+     * Whether the notice reports a rejection, after which the client may submit the message again, or a
+     * failure.
+     */
     public boolean rejected;
+    /**
+     * How long the client should wait before it submits a rejected message again, in microseconds; 0 if not
+     * given.
+     */
     public long retryAfterMicros;
 
     /** Creates an entry with no attempt made and no notice owed. */
     public LedgerEntry(long number, String id, String messageClass, String tenant, String key,
-        String idempotencyKey,
-        String destination,
-        long deadlineMicros, byte[] body) {
+        String idempotencyKey, String destination, long deadlineMicros, byte[] body) {
         this.number = number;
         this.id = id;
         this.messageClass = messageClass;
@@ -43,14 +64,15 @@
         this.body = body;
     }
 
-    /** Takes its times over from the process that wrote them. */
-    void shiftTimes(long micros) {
-        deadlineMicros += micros;
-        uncertainSinceMicros += uncertainSinceMicros >= 0 ? micros : 0;
-        attemptStartedMicros += attemptStartedMicros >= 0 ? micros : 0;
+    /** Converts the times of an entry that another process wrote by adding the difference of the clocks. */
+    void shiftTimes(long offsetMicros) {
+        deadlineMicros += offsetMicros;
+        uncertainSinceMicros += uncertainSinceMicros >= 0 ? offsetMicros : 0;
+        attemptStartedMicros += attemptStartedMicros >= 0 ? offsetMicros : 0;
     }
 
-    void outIsDoubt() {
+    /** Ends the attempt in progress, if there is one, as one that the endpoint may have processed. */
+    void endAttemptAsUncertain() {
         if (attemptStartedMicros >= 0 && uncertainSinceMicros < 0) {
             uncertainSinceMicros = attemptStartedMicros;
             uncertainZone = attemptZone;
--- a/relay/src/main/java/yewpath/ledger/LedgerFile.java
+++ b/relay/src/main/java/yewpath/ledger/LedgerFile.java
@@ -17,135 +17,157 @@
 import yewpath.events.Log;
 
 /**
- * The log's file in the lasting folder. It is appended to until a write fails; what stands at its end is not known then,
- * and the next write has to replace it whole.
+ * The ledger's file in the state folder. Records are appended to it until a write fails. After a failed write
+ * the end of the file is unknown, so the next write has to replace the whole file.
  */
 final class LedgerFile {
-    private static final String NAME = "ledger";
-    private static final String NEXT_NAME = "ledger.next";
+    private static final String FILE_NAME = "ledger";
+    private static final String TEMPORARY_FILE_NAME = "ledger.next";
     private static final String SET_ASIDE_SUFFIX = ".unusable";
-    /** A write takes direct memory of its own size. */
-    private static final int SLICE_BYTES = 64 * 1024;
+    /** Writes are split into chunks, because the JDK copies each one to a direct buffer of the same size. */
+    private static final int CHUNK_BYTES = 64 * 1024;
 
     private final Path folder;
     private final Path path;
-    private final Path next;
+    private final Path temporaryPath;
+    /** Null before the first write and after a failed one. */
     private FileChannel channel;
-    private Object key;
+    /**
+     * Identifies the file that the channel writes to; null before the first write or where the system has
+     * none.
+     */
+    private Object fileKey;
     private long length;
 
-    /** Prepares the folder; nothing is written yet. */
+    /**
+     * Creates the folder if needed and removes or renames what is in the way; does not open the file yet.
+     *
+     * @throws IOException if the folder cannot be prepared
+     */
     LedgerFile(Path folder) throws IOException {
         this.folder = folder;
-        path = folder.resolve(NAME);
-        next = folder.resolve(NEXT_NAME);
+        path = folder.resolve(FILE_NAME);
+        temporaryPath = folder.resolve(TEMPORARY_FILE_NAME);
         Files.createDirectories(folder);
         setAside(path);
-        setAside(next);
-        Files.deleteIfExists(next);
+        setAside(temporaryPath);
+        Files.deleteIfExists(temporaryPath);
     }
 
-    /** What is no file has been put there by somebody else. */
+    /** Renames whatever has this path and is not a regular file; another program must have created it. */
     private static void setAside(Path path) throws IOException {
         if (!Files.exists(path, LinkOption.NOFOLLOW_LINKS) || Files.isRegularFile(path)) {
             return;
         }
         int number = 0;
-        Path to;
+        Path target;
         do {
-            to = path
+            target = path
                 .resolveSibling(path.getFileName() + SET_ASIDE_SUFFIX + (number > 0 ? "." + number : ""));
             number++;
-        } while (Files.exists(to, LinkOption.NOFOLLOW_LINKS));
-        Files.move(path, to);
-        Log.tell(Event.LEDGER_SET_ASIDE, path.toString(), to.toString());
+        } while (Files.exists(target, LinkOption.NOFOLLOW_LINKS));
+        Files.move(path, target);
+        Log.tell(Event.LEDGER_SET_ASIDE, path.toString(), target.toString());
     }
 
-    /** Hands on the records of an earlier process; returns how many bytes at the end are none. */
-    long replay(RecordFormat.Sink sink) throws IOException {
+    /**
+     * Passes the records that an earlier process wrote to the consumer.
+     *
+     * @return the number of bytes at the end of the file that hold no complete record
+     * @throws IOException if the file cannot be read
+     */
+    long replay(RecordFormat.RecordConsumer consumer) throws IOException {
         if (!Files.exists(path)) {
             return 0;
         }
         long size = Files.size(path);
-        // Takes no direct memory, of which there is less than a log can be long.
-        try (InputStream in = new BufferedInputStream(new FileInputStream(path.toFile()), SLICE_BYTES)) {
-            return size - RecordFormat.play(in, size, sink);
+        // A FileInputStream needs no direct memory, whose limit is lower than the size that the file can
+        // have.
+        try (InputStream in = new BufferedInputStream(new FileInputStream(path.toFile()), CHUNK_BYTES)) {
+            return size - RecordFormat.replay(in, size, consumer);
         }
     }
 
-    /** Whether the last write succeeded, so that another can follow it. */
+    /** Returns whether the last write succeeded, so that another one can follow it. */
     boolean canAppend() {
         return channel != null;
     }
 
+    /** Returns the number of bytes written to the file, without those of a failed write. */
     long length() {
         return length;
     }
 
+    /** Appends to the file; if that fails the file is closed, and only {@link #replace} can write again. */
     void append(byte[] bytes) throws IOException {
         try {
             writeAll(channel, bytes);
         } catch (IOException e) {
-            abandon();
+            close();
             throw e;
         }
         length += bytes.length;
     }
 
-    /** Puts a new file in place of the old one, which stays until the new one is whole. */
+    /**
+     * Writes a temporary file and renames it to replace the old one, which stays unchanged until then.
+     *
+     * @throws IOException if that fails; the old file, if it is open, stays in use
+     */
     void replace(Iterable<byte[]> contents) throws IOException {
         Files.createDirectories(folder);
-        FileChannel written = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-            StandardOpenOption.TRUNCATE_EXISTING);
-        Object writtenKey;
-        long size;
+        FileChannel newChannel = FileChannel.open(temporaryPath, StandardOpenOption.CREATE,
+            StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
+        Object newFileKey;
+        long newLength;
         try {
-            ByteArrayOutputStream slice = new ByteArrayOutputStream(SLICE_BYTES);
+            ByteArrayOutputStream chunk = new ByteArrayOutputStream(CHUNK_BYTES);
             for (byte[] bytes : contents) {
-                slice.writeBytes(bytes);
-                if (slice.size() >= SLICE_BYTES) {
-                    writeAll(written, slice.toByteArray());
-                    slice.reset();
+                chunk.writeBytes(bytes);
+                if (chunk.size() >= CHUNK_BYTES) {
+                    writeAll(newChannel, chunk.toByteArray());
+                    chunk.reset();
                 }
             }
-            writeAll(written, slice.toByteArray());
-            size = written.position();
-            writtenKey = keyOf(next);
-            Files.move(next, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            writeAll(newChannel, chunk.toByteArray());
+            newLength = newChannel.position();
+            newFileKey = fileKeyOf(temporaryPath);
+            Files.move(temporaryPath, path, StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            closeQuietly(written);
-            removeNext();
+            closeQuietly(newChannel);
+            removeTemporaryFile();
             throw e;
         }
-        abandon();
-        channel = written;
-        key = writtenKey;
-        length = size;
+        close();
+        channel = newChannel;
+        fileKey = newFileKey;
+        length = newLength;
     }
 
-    private void removeNext() {
+    private void removeTemporaryFile() {
         try {
-            Files.deleteIfExists(next);
+            Files.deleteIfExists(temporaryPath);
         } catch (IOException e) {
-            Log.tell(Event.LEDGER_LEFTOVER, next.toString(), e);
+            Log.tell(Event.LEDGER_LEFTOVER, temporaryPath.toString(), e);
         }
     }
 
-    /** Whether the folder still holds the file that is written to. */
+    /** Returns whether the folder still holds the file that this process writes to. */
     boolean isInPlace() {
         try {
-            return key == null || key.equals(keyOf(path));
-        } catch (IOException gone) {
+            return fileKey == null || fileKey.equals(fileKeyOf(path));
+        } catch (IOException missing) {
             return false;
         }
     }
 
-    private static Object keyOf(Path path) throws IOException {
+    private static Object fileKeyOf(Path path) throws IOException {
         return Files.readAttributes(path, BasicFileAttributes.class).fileKey();
     }
 
-    /** Writes no more to this file. */
-    void abandon() {
+    /** Closes the file; nothing can be appended until the next {@link #replace}. */
+    void close() {
         if (channel != null) {
             closeQuietly(channel);
             channel = null;
@@ -156,16 +178,16 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // What was written before is in the file or was told as failed.
-            Log.tell(Event.LIBRARY, "closing the log failed", e);
+            // No data is lost: earlier writes either succeeded or were reported as failed.
+            Log.tell(Event.LIBRARY, "closing the ledger file failed", e);
         }
     }
 
-    private static void writeAll(FileChannel to, byte[] bytes) throws IOException {
+    private static void writeAll(FileChannel channel, byte[] bytes) throws IOException {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         while (buffer.position() < bytes.length) {
-            buffer.limit(Math.min(bytes.length, buffer.position() + SLICE_BYTES));
-            to.write(buffer);
+            buffer.limit(Math.min(bytes.length, buffer.position() + CHUNK_BYTES));
+            channel.write(buffer);
         }
     }
 }
--- a/relay/src/main/java/yewpath/ledger/RecordFormat.java
+++ b/relay/src/main/java/yewpath/ledger/RecordFormat.java
@@ -15,200 +15,216 @@
 import yewpath.events.Log;
 import yewpath.loop.ClockReading;
 
-/** How records lie in the file: length, checksum, type, envelope's number, fields. */
+/**
+ * Encodes and decodes the records of the ledger file. A record consists of the length of what follows the
+ * checksum (4 bytes), a CRC-32 checksum of it (4 bytes), the type (1 byte), the number of the entry (8 bytes)
+ * and the fields of the type. Numbers are big-endian; strings are UTF-8 after a length of 2 bytes.
+ */
 final class RecordFormat {
-    static final int FRAME = 8;
-    private static final int LEAST = 9;
-    /** A length above this is none that was written. */
-    static final int LONGEST = (int) Math.min(16 << 20, Runtime.getRuntime().maxMemory() / 8);
-
-    /** What to do with one record read back. */
-    interface Sink {
+    /** The size of the length and the checksum that precede each record. */
+    static final int HEADER_BYTES = 8;
+    /** The size of the type and the entry number, which each record has. */
+    private static final int MIN_RECORD_BYTES = 9;
+    /** No longer record is written, so a greater length means that the file is corrupt there. */
+    static final int MAX_RECORD_BYTES = (int) Math.min(16 << 20, Runtime.getRuntime().maxMemory() / 8);
+
+    /** Receives the records that are read from the file; the buffer starts at the number of the entry. */
+    interface RecordConsumer {
         void record(byte type, ByteBuffer fields);
     }
 
-    /** Puts a record's fields. */
-    private interface Fields {
-        void to(DataOutputStream out) throws IOException;
+    /** Writes the fields of one record. */
+    private interface FieldWriter {
+        void writeTo(DataOutputStream out) throws IOException;
     }
 
     private RecordFormat() {}
 
     /**
-     * Hands on one record after another, up to the first that is not whole; returns how many bytes that are. A batch counts
-     * whole or not at all.
+     * Passes the records of a stream to the consumer, up to the first one that is incomplete or corrupt. The
+     * records of a batch are passed on only if the batch is complete.
+     *
+     * @param size the number of bytes in the stream
+     * @return the number of bytes that the complete records take
+     * @throws IOException if the stream cannot be read
      */
-    static long play(InputStream in, long size, Sink sink) throws IOException {
+    static long replay(InputStream in, long size, RecordConsumer consumer) throws IOException {
         DataInputStream data = new DataInputStream(in);
-        long played = 0;
-        while (size - played >= FRAME + LEAST) {
+        long replayedBytes = 0;
+        while (size - replayedBytes >= HEADER_BYTES + MIN_RECORD_BYTES) {
             int length = data.readInt();
-            int sum = data.readInt();
-            if (length < LEAST || length > Math.min(LONGEST, size - played - FRAME)) {
-                return played;
+            int checksum = data.readInt();
+            if (length < MIN_RECORD_BYTES
+                || length > Math.min(MAX_RECORD_BYTES, size - replayedBytes - HEADER_BYTES)) {
+                return replayedBytes;
             }
-            byte[] fields = data.readNBytes(length);
-            if (fields.length < length || sum(fields, 0, length) != sum) {
-                return played;
+            byte[] record = data.readNBytes(length);
+            if (record.length < length || checksum(record, 0, length) != checksum) {
+                return replayedBytes;
             }
-            playRecord(fields, sink);
-            played += FRAME + length;
+            replayRecord(record, consumer);
+            replayedBytes += HEADER_BYTES + length;
         }
-        return played;
+        return replayedBytes;
     }
 
-    private static void playRecord(byte[] fields, Sink sink) throws IOException {
-        ByteBuffer record = ByteBuffer.wrap(fields);
+    private static void replayRecord(byte[] bytes, RecordConsumer consumer) throws IOException {
+        ByteBuffer record = ByteBuffer.wrap(bytes);
         byte type = record.get();
-        if (type == Ledger.BATCH) {
-            int start = LEAST;
-            play(new ByteArrayInputStream(fields, start, fields.length - start), fields.length - start, sink);
+        if (type == Ledger.TYPE_BATCH) {
+            int start = MIN_RECORD_BYTES;
+            replay(new ByteArrayInputStream(bytes, start, bytes.length - start), bytes.length - start,
+                consumer);
             return;
         }
         try {
-            sink.record(type, record);
+            consumer.record(type, record);
         } catch (RuntimeException unknown) {
-            // Whole, so written by a program that means something else by it.
+            // The checksum matches, so the record is not damaged: another version of the program wrote it.
             Log.tell(Event.LEDGER_RECORD_SKIPPED, type, unknown);
         }
     }
 
-    /** Returns the records as one that is read back whole or not at all. */
+    /** Combines records into one that is replayed as a whole or not at all. */
     static byte[] batch(List<byte[]> records) {
         if (records.size() == 1) {
             return records.get(0);
         }
-        return record(Ledger.BATCH, 0, out -> {
-            for (byte[] one : records) {
-                out.write(one);
+        return record(Ledger.TYPE_BATCH, 0, out -> {
+            for (byte[] record : records) {
+                out.write(record);
             }
         });
     }
 
-    private static int sum(byte[] bytes, int from, int length) {
+    private static int checksum(byte[] bytes, int from, int length) {
         CRC32 crc = new CRC32();
         crc.update(bytes, from, length);
         return (int) crc.getValue();
     }
 
-    private static byte[] record(byte type, long number, Fields fields) {
+    private static byte[] record(byte type, long number, FieldWriter fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
+            // Leaves room for the header, which depends on what follows.
             out.writeLong(0);
             out.writeByte(type);
             out.writeLong(number);
-            fields.to(out);
-        } catch (IOException never) {
-            throw new UncheckedIOException(never);
+            fields.writeTo(out);
+        } catch (IOException impossible) {
+            throw new UncheckedIOException(impossible);
         }
         byte[] record = bytes.toByteArray();
-        int length = record.length - FRAME;
-        ByteBuffer.wrap(record).putInt(length).putInt(sum(record, FRAME, length));
+        int length = record.length - HEADER_BYTES;
+        ByteBuffer.wrap(record).putInt(length).putInt(checksum(record, HEADER_BYTES, length));
         return record;
     }
 
-    static byte[] taken(LedgerEntry e) {
-        return record(Ledger.TAKEN, e.number, out -> {
-            for (String word : new String[]{e.id, e.messageClass, e.tenant, e.key, e.destination}) {
-                out.writeBoolean(word != null);
-                write(out, word == null ? "" : word);
+    static byte[] accepted(LedgerEntry entry) {
+        return record(Ledger.TYPE_ACCEPTED, entry.number, out -> {
+            for (String text : new String[]{entry.id, entry.messageClass, entry.tenant, entry.key,
+                entry.destination}) {
+                out.writeBoolean(text != null);
+                writeString(out, text == null ? "" : text);
             }
-            out.writeLong(e.deadlineMicros);
-            out.writeInt(e.body.length);
-            out.write(e.body);
-            if (e.idempotencyKey != null) {
-                write(out, e.idempotencyKey);
+            out.writeLong(entry.deadlineMicros);
+            out.writeInt(entry.body.length);
+            out.write(entry.body);
+            if (entry.idempotencyKey != null) {
+                writeString(out, entry.idempotencyKey);
             }
         });
     }
 
-    static LedgerEntry readTaken(long number, ByteBuffer in) {
-        String[] words = new String[5];
-        for (int i = 0; i < words.length; i++) {
-            boolean told = in.get() == 1;
-            String word = read(in);
-            words[i] = told ? word : null;
+    /** Creates the entry that an acceptance record describes. */
+    static LedgerEntry readAccepted(long number, ByteBuffer in) {
+        String[] texts = new String[5];
+        for (int i = 0; i < texts.length; i++) {
+            boolean isPresent = in.get() == 1;
+            String text = readString(in);
+            texts[i] = isPresent ? text : null;
         }
-        long expiry = in.getLong();
+        long deadlineMicros = in.getLong();
         byte[] body = new byte[in.getInt()];
         in.get(body);
-        // Last, since records from before there were tags end here.
-        String tag = in.hasRemaining() ? read(in) : null;
-        return new LedgerEntry(number, words[0], words[1], words[2], words[3], tag, words[4], expiry, body);
-    }
-
-    static byte[] shot(LedgerEntry e) {
-        return record(Ledger.SHOT, e.number, out -> {
-            out.writeInt(e.attempts);
-            out.writeLong(e.attemptStartedMicros);
-            write(out, e.attemptZone);
-            out.writeLong(e.uncertainSinceMicros);
-            write(out, e.uncertainZone);
+        // The last field, because records of versions without idempotency keys end before it.
+        String idempotencyKey = in.hasRemaining() ? readString(in) : null;
+        return new LedgerEntry(number, texts[0], texts[1], texts[2], texts[3], idempotencyKey, texts[4],
+            deadlineMicros, body);
+    }
+
+    static byte[] attemptStarted(LedgerEntry entry) {
+        return record(Ledger.TYPE_ATTEMPT_STARTED, entry.number, out -> {
+            out.writeInt(entry.attempts);
+            out.writeLong(entry.attemptStartedMicros);
+            writeString(out, entry.attemptZone);
+            out.writeLong(entry.uncertainSinceMicros);
+            writeString(out, entry.uncertainZone);
         });
     }
 
-    static void readShot(LedgerEntry e, ByteBuffer in) {
-        e.attempts = in.getInt();
-        e.attemptStartedMicros = in.getLong();
-        e.attemptZone = read(in);
-        e.uncertainSinceMicros = in.getLong();
-        e.uncertainZone = read(in);
+    static void readAttemptStarted(LedgerEntry entry, ByteBuffer in) {
+        entry.attempts = in.getInt();
+        entry.attemptStartedMicros = in.getLong();
+        entry.attemptZone = readString(in);
+        entry.uncertainSinceMicros = in.getLong();
+        entry.uncertainZone = readString(in);
     }
 
-    static byte[] back(LedgerEntry e, boolean neverRan) {
-        return record(Ledger.BACK, e.number, out -> out.writeBoolean(neverRan));
+    static byte[] attemptEnded(LedgerEntry entry, boolean neverProcessed) {
+        return record(Ledger.TYPE_ATTEMPT_ENDED, entry.number, out -> out.writeBoolean(neverProcessed));
     }
 
-    static byte[] owed(LedgerEntry e) {
-        return record(Ledger.OWED, e.number, out -> {
-            out.writeBoolean(e.rejected);
-            out.writeLong(e.retryAfterMicros);
+    static byte[] noticeOwed(LedgerEntry entry) {
+        return record(Ledger.TYPE_NOTICE_OWED, entry.number, out -> {
+            out.writeBoolean(entry.rejected);
+            out.writeLong(entry.retryAfterMicros);
         });
     }
 
-    static void readOwed(LedgerEntry e, ByteBuffer in) {
-        e.noticeOwed = true;
-        e.rejected = in.get() == 1;
-        e.retryAfterMicros = in.getLong();
+    static void readNoticeOwed(LedgerEntry entry, ByteBuffer in) {
+        entry.noticeOwed = true;
+        entry.rejected = in.get() == 1;
+        entry.retryAfterMicros = in.getLong();
     }
 
     static byte[] clock(ClockReading reading) {
-        return record(Ledger.CLOCK, 0, out -> {
-            write(out, reading.bootId());
+        return record(Ledger.TYPE_CLOCK, 0, out -> {
+            writeString(out, reading.bootId());
             out.writeLong(reading.monotonicMicros());
             out.writeLong(reading.unixMicros());
         });
     }
 
     static ClockReading readClock(ByteBuffer in) {
-        String bootId = read(in);
+        String bootId = readString(in);
         return new ClockReading(bootId, in.getLong(), in.getLong());
     }
 
-    static byte[] over(LedgerEntry e) {
-        return record(Ledger.OVER, e.number, out -> {});
+    static byte[] completed(LedgerEntry entry) {
+        return record(Ledger.TYPE_COMPLETED, entry.number, out -> {});
     }
 
-    /** All that is known of an envelope, as few records. */
-    static byte[] whole(LedgerEntry e) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(taken(e));
-        if (e.attempts > 0) {
-            all.writeBytes(shot(e));
+    /** Encodes the whole state of an entry in as few records as possible, one after the other. */
+    static byte[] entireEntry(LedgerEntry entry) {
+        ByteArrayOutputStream records = new ByteArrayOutputStream();
+        records.writeBytes(accepted(entry));
+        if (entry.attempts > 0) {
+            records.writeBytes(attemptStarted(entry));
         }
-        if (e.noticeOwed) {
-            all.writeBytes(owed(e));
+        if (entry.noticeOwed) {
+            records.writeBytes(noticeOwed(entry));
         }
-        return all.toByteArray();
+        return records.toByteArray();
     }
 
-    private static void write(DataOutputStream out, String word) throws IOException {
-        byte[] bytes = word.getBytes(StandardCharsets.UTF_8);
+    private static void writeString(DataOutputStream out, String text) throws IOException {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         out.writeShort(bytes.length);
         out.write(bytes);
     }
 
-    private static String read(ByteBuffer in) {
+    private static String readString(ByteBuffer in) {
         byte[] bytes = new byte[in.getShort() & 0xffff];
         in.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
--- a/relay/src/test/java/yewpath/ledger/LedgerTest.java
+++ b/relay/src/test/java/yewpath/ledger/LedgerTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 import yewpath.loop.ClockReading;
 
-/** What a flush and a rewrite leave in the file. */
+/** What the ledger file holds after a flush and after it was rewritten. */
 public final class LedgerTest {
     private static final ClockReading NOW = new ClockReading("boot", 40, 40);
 
@@ -30,58 +30,59 @@
         return new Ledger(folder, 400_000, 600_000, 512, NOW);
     }
 
-    private static LedgerEntry take(Ledger ledger, String id) {
+    private static LedgerEntry accept(Ledger ledger, String id) {
         LedgerEntry entry = ledger.createEntry(id, "order", null, null, null, "7", 99, new byte[20]);
         ledger.recordAccepted(entry);
         return entry;
     }
 
     @Test
-    public void whatOneFlushWritesIsReadBackWholeOrNotAtAll() throws IOException {
+    public void recordsOfOneFlushAreReplayedTogetherOrNotAtAll() throws IOException {
         Ledger ledger = open();
-        int before = (int) Files.size(file);
-        take(ledger, "a");
-        take(ledger, "b");
+        int lengthBefore = (int) Files.size(file);
+        accept(ledger, "a");
+        accept(ledger, "b");
         assertTrue(ledger.flush());
-        byte[] whole = Files.readAllBytes(file);
-        for (int length = before; length <= whole.length; length++) {
-            Files.write(file, Arrays.copyOf(whole, length));
-            assertEquals(open().size(), length == whole.length ? 2 : 0, "cut at " + length);
+        byte[] complete = Files.readAllBytes(file);
+        for (int length = lengthBefore; length <= complete.length; length++) {
+            Files.write(file, Arrays.copyOf(complete, length));
+            assertEquals(open().size(), length == complete.length ? 2 : 0,
+                "truncated to length " + length);
         }
     }
 
     @Test
-    public void whatWasDiscardedIsNotWritten() throws IOException {
+    public void discardedEntriesAreNotWritten() throws IOException {
         Ledger ledger = open();
-        LedgerEntry refused = take(ledger, "refused");
-        take(ledger, "kept");
+        LedgerEntry refused = accept(ledger, "refused");
+        accept(ledger, "kept");
         ledger.discard(refused);
         assertTrue(ledger.flush());
         assertEquals(open().entries().iterator().next().id, "kept");
         assertEquals(open().size(), 1);
     }
 
-    /** Earlier versions pass over batches: a shutdown leaves a file that they can take up. */
+    /** Earlier versions skip batch records, so a shutdown must leave a file without them. */
     @Test
-    public void aCompactedFileHoldsNoBatch() throws IOException {
+    public void compactedFileHoldsNoBatchRecord() throws IOException {
         Ledger ledger = open();
-        take(ledger, "a");
-        take(ledger, "b");
+        accept(ledger, "a");
+        accept(ledger, "b");
         ledger.flush();
-        assertTrue(hasBatch());
+        assertTrue(hasBatchRecord());
         ledger.compact();
-        assertFalse(hasBatch());
+        assertFalse(hasBatchRecord());
         assertEquals(open().size(), 2);
     }
 
-    private boolean hasBatch() throws IOException {
+    private boolean hasBatchRecord() throws IOException {
         byte[] bytes = Files.readAllBytes(file);
-        int at = 0;
-        while (at < bytes.length) {
-            if (bytes[at + RecordFormat.FRAME] == Ledger.BATCH) {
+        int position = 0;
+        while (position < bytes.length) {
+            if (bytes[position + RecordFormat.HEADER_BYTES] == Ledger.TYPE_BATCH) {
                 return true;
             }
-            at += RecordFormat.FRAME + ByteBuffer.wrap(bytes).getInt(at);
+            position += RecordFormat.HEADER_BYTES + ByteBuffer.wrap(bytes).getInt(position);
         }
         return false;
     }
