--- a/relay/src/main/java/yewpath/directory/DiscoveryClient.java
+++ b/relay/src/main/java/yewpath/directory/DiscoveryClient.java
@@ -11,119 +11,141 @@
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
 
-/** Follows discovery's list from the version known; whatever fails, the last list stays in use. */
+/**
+ * Keeps the list of endpoints up to date with service discovery. A watch is a response that does not end:
+ * discovery sends the changes since the version last known, then each further change, and empty lines as
+ * heartbeats. After any failure the last list stays in use.
+ */
 public final class DiscoveryClient {
     private final Loop loop;
     private final Limits limits;
     private InetSocketAddress discovery;
     private final EndpointList.Listener listener;
-    private final Runnable failed;
+    private final Runnable onRequestEnded;
     private long version;
+    /** The connection of the latest watch; null before the first one. */
     private ServerConnection connection;
-    private Loop.Timer again;
-    private long backoff;
+    private Loop.Timer retryTimer;
+    private long backoffMicros;
     private boolean everAnswered;
 
-    /** {@code failed} hears that a watch or a fetch has ended; it may be null where nobody asks by itself. */
+    /**
+     * Creates a client that sends nothing yet.
+     *
+     * @param version the version of the list that is in use at the start; 0 if there is none
+     * @param listener receives all lists and changes, in the rounds of the loop
+     * @param onRequestEnded called when a watch has ended or a fetch has failed; if it is null, a watch that
+     * ended is restarted after a delay that doubles with each failure
+     */
     public DiscoveryClient(Loop loop, Limits limits, InetSocketAddress discovery, long version,
-        EndpointList.Listener listener,
-        Runnable failed) {
+        EndpointList.Listener listener, Runnable onRequestEnded) {
         this.loop = loop;
         this.limits = limits;
         this.discovery = discovery;
         this.version = version;
         this.listener = listener;
-        this.failed = failed;
+        this.onRequestEnded = onRequestEnded;
     }
 
-    /** Opens the watch anew from the version known last. */
+    /** Starts a watch from the last version known and closes the previous watch, if there is one. */
     public void startWatch() {
-        if (again != null) {
-            again.callOff();
+        if (retryTimer != null) {
+            retryTimer.callOff();
         }
         if (connection != null) {
             connection.drop();
         }
-        ask("/registry/instances?follow=1&since=" + version, true);
+        sendRequest("/registry/instances?follow=1&since=" + version, true);
     }
 
-    /** Whether discovery has once told this life what has changed since the list that it started with. */
+    /**
+     * Returns whether discovery has answered since this process started, and its answer was passed to the
+     * listener.
+     */
     public boolean hasAnswered() {
         return everAnswered;
     }
 
-    /** The list stays in use; what has changed since is asked for at the new address. */
+    /**
+     * Changes the address of discovery. A watch continues there from the last version; the list stays in use.
+     */
     public void setAddress(InetSocketAddress address) {
         discovery = address;
-        backoff = 0;
+        backoffMicros = 0;
         if (connection != null) {
             startWatch();
         }
     }
 
+    /** Requests the complete list once, without a watch. */
     public void fetchList() {
-        ask("/registry/instances", false);
+        sendRequest("/registry/instances", false);
     }
 
-    private void ask(String target, boolean following) {
-        ServerConnection asked = new ServerConnection(loop, limits, discovery, limits.lineMost());
-        connection = following ? asked : connection;
+    private void sendRequest(String target, boolean isWatch) {
+        ServerConnection requestConnection = new ServerConnection(loop, limits, discovery, limits.lineMost());
+        connection = isWatch ? requestConnection : connection;
         byte[] request = Writer.request("GET", target, discovery).done();
-        asked.ask(request, new Telling(asked, following));
+        requestConnection.ask(request, new ResponseHandler(requestConnection, isWatch));
     }
 
-    /** One answer of discovery, as long as it lasts. */
-    private final class Telling implements ServerConnection.Answer {
-        private final ServerConnection from;
-        private final boolean following;
-        private final Values values = new Values(this::object, this::emptyLine);
-        private Loop.Timer quiet;
-        private final long askedAt = loop.now();
-        private boolean headHeard;
+    /** Handles the response to one request, which lasts as long as the watch does. */
+    private final class ResponseHandler implements ServerConnection.Answer {
+        private final ServerConnection source;
+        private final boolean isWatch;
+        private final Values values = new Values(this::objectReceived, this::emptyLineReceived);
+        private Loop.Timer silenceTimer;
+        private final long requestedAtMicros = loop.now();
+        private boolean headReceived;
         private boolean answered;
 
-        Telling(ServerConnection from, boolean following) {
-            this.from = from;
-            this.following = following;
-            isAlive();
+        ResponseHandler(ServerConnection source, boolean isWatch) {
+            this.source = source;
+            this.isWatch = isWatch;
+            restartSilenceTimer();
         }
 
         /**
-         * Silence is counted from the last that was whole: the head, an empty line or an object. Guards against a watch
-         * whose bytes still drip, or that broke off in the middle of a line, and that will never tell anything again.
+         * Called only when something complete was received: the head, an empty line or an object. Guards
+         * against a watch that will never deliver a change again although single bytes still arrive, or
+         * although its last line broke off in the middle.
          */
-        private void isAlive() {
-            if (quiet != null) {
-                quiet.callOff();
+        private void restartSilenceTimer() {
+            if (silenceTimer != null) {
+                silenceTimer.callOff();
             }
-            quiet = loop.after(limits.watchSilence(), () -> from.close(CloseReason.SILENT));
+            silenceTimer = loop.after(limits.watchSilence(), () -> source.close(CloseReason.SILENT));
         }
 
         @Override
         public void part(Parser answer) {
-            if (!following || !answer.headKnown() || answer.status() != 200) {
+            if (!isWatch || !answer.headKnown() || answer.status() != 200) {
                 return;
             }
-            if (!headHeard) {
-                headHeard = true;
-                isAlive();
-                loop.after(limits.answerRest(), this::nothingFollows);
+            if (!headReceived) {
+                headReceived = true;
+                restartSilenceTimer();
+                loop.after(limits.answerRest(), this::answerWithoutChanges);
             }
             feed(answer);
         }
 
-        /** Where nothing has changed no object follows the head; where something has, it may be apart, and in pieces. */
-        private void nothingFollows() {
-            if (!from.isClosed() && !values.isInside()) {
-                answers();
+        /**
+         * Runs some time after the head. If nothing has changed, no object follows the head; if something
+         * has, the object may arrive separately from the head and in pieces.
+         */
+        private void answerWithoutChanges() {
+            if (!source.isClosed() && !values.isInside()) {
+                answeredWithoutList();
             }
         }
 
         /**
-         * It lives and tells no news, which is a list of nothing. Guards against whoever asks for lists taking a watch on
-         * which nothing changes for one that is not answered, and asking for it again and again.
+         * Passes an empty list of changes to the listener, if nothing was received on this watch before.
+         * Guards against a caller that requests lists itself taking a watch on which nothing changes for an
+         * unanswered request, and repeating it again and again.
          */
-        private void answers() {
+        private void answeredWithoutList() {
             if (!answered) {
                 answered = true;
                 loop.gather(() -> {
@@ -131,74 +153,77 @@
                     listener.listEnded();
                 });
             }
-            hasNews();
+            markAnswered();
         }
 
         @Override
         public void whole(Parser answer) {
-            quiet.callOff();
+            silenceTimer.callOff();
             if (answer.status() == 200) {
                 feed(answer);
                 if (values.isInside()) {
-                    Log.tell(Event.DIRECTORY_GARBLED, "cut off in the middle of an object");
+                    Log.tell(Event.DIRECTORY_GARBLED, "response ended in the middle of an object");
                 }
             }
-            from.close(CloseReason.NOT_KEPT);
-            if (following || answer.status() != 200) {
-                ended(following);
+            source.close(CloseReason.NOT_KEPT);
+            if (isWatch || answer.status() != 200) {
+                requestEnded(isWatch);
             }
         }
 
         @Override
         public void failed(boolean sent, Parser answer) {
-            quiet.callOff();
-            ended(following);
+            silenceTimer.callOff();
+            requestEnded(isWatch);
         }
 
-        /** What can't be understood is told again: the watch is taken up anew from the last version understood. */
+        /**
+         * Parses what has been received of the body. If that is not valid, the connection is closed; the next
+         * watch starts from the last valid version, so that discovery sends the same changes again.
+         */
         private void feed(Parser answer) {
             try {
                 values.feed(answer.takeBody(), limits.lineMost());
-            } catch (IllegalArgumentException garbled) {
-                Log.tell(Event.DIRECTORY_GARBLED, garbled.getMessage());
-                from.close(CloseReason.UNREADABLE_LIST);
+            } catch (IllegalArgumentException invalid) {
+                Log.tell(Event.DIRECTORY_GARBLED, invalid.getMessage());
+                source.close(CloseReason.UNREADABLE_LIST);
             }
         }
 
-        private void emptyLine() {
-            isAlive();
-            // A watch that has lived for longer than the pause before it is no longer one that keeps failing.
-            backoff = loop.now() - askedAt > backoff ? 0 : backoff;
-            answers();
+        private void emptyLineReceived() {
+            restartSilenceTimer();
+            // A watch that has lasted longer than the delay before it no longer counts as a repeated failure.
+            backoffMicros = loop.now() - requestedAtMicros > backoffMicros ? 0 : backoffMicros;
+            answeredWithoutList();
         }
 
-        private void object(byte[] bytes) {
+        private void objectReceived(byte[] bytes) {
             EndpointList list = EndpointList.read(bytes);
             answered = true;
-            isAlive();
+            restartSilenceTimer();
             loop.gather(() -> {
                 list.notifyListener(listener);
                 version = list.version;
-                backoff = 0;
+                backoffMicros = 0;
             });
-            hasNews();
+            markAnswered();
         }
     }
 
-    /** In the round that has played what there was to tell. */
-    private void hasNews() {
+    /** Takes effect in the round of the loop in which the listener receives what discovery has answered. */
+    private void markAnswered() {
         if (!everAnswered) {
             loop.gather(() -> everAnswered = true);
         }
     }
 
-    private void ended(boolean following) {
-        if (failed != null) {
-            failed.run();
-        } else if (following) {
-            backoff = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoff));
-            Log.tell(Event.DIRECTORY_LOST, backoff / 1000);
-            again = loop.after(backoff, this::startWatch);
+    private void requestEnded(boolean isWatch) {
+        if (onRequestEnded != null) {
+            onRequestEnded.run();
+        } else if (isWatch) {
+            backoffMicros = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoffMicros));
+            Log.tell(Event.DIRECTORY_LOST, backoffMicros / 1000);
+            retryTimer = loop.after(backoffMicros, this::startWatch);
         }
     }
 }
--- a/relay/src/main/java/yewpath/directory/EndpointList.java
+++ b/relay/src/main/java/yewpath/directory/EndpointList.java
@@ -8,121 +8,144 @@
 import java.util.List;
 import yewpath.json.Tokens;
 
-/** Discovery's list, or changes to it, read whole: of one that cannot be read nothing is handed on. */
+/**
+ * A list of endpoints from service discovery: either the complete list or the changes to an earlier one. A
+ * list is parsed completely before any of it is used, so that an unreadable one has no effect at all.
+ */
 public final class EndpointList {
-    /** Hears a list entry by entry. */
+    /** Receives the content of a list, endpoint by endpoint. */
     public interface Listener {
-        void listStarted(boolean whole);
+        /** Called once before the endpoints; {@code complete} is false for a list of changes. */
+        void listStarted(boolean complete);
 
+        /**
+         * Called for each endpoint of the list.
+         *
+         * @param state 0 if the endpoint is up, 1 if it is draining, 2 if it was removed
+         * @param weight the weight that discovery gives the endpoint
+         * @param startedMicros when the endpoint was started, in Unix microseconds
+         */
         void endpointListed(String id, InetSocketAddress address, String zone, String kind,
-            String destination,
-            int phase,
-            double rate, long since);
+            String destination, int state, double weight, long startedMicros);
 
+        /** Called once after the endpoints. */
         void listEnded();
     }
 
-    private static final List<String> PHASES = List.of("up", "draining", "removed");
+    /** The names of the states in the JSON; the index in this list is passed to the listener. */
+    private static final List<String> STATES = List.of("up", "draining", "removed");
 
-    /** One entry on its way to the listener. */
-    private record Entry(String id, InetSocketAddress address, String zone, String kind, String destination,
-        int phase,
-        double rate, long since) {}
+    private record ListedEndpoint(String id, InetSocketAddress address, String zone, String kind,
+        String destination, int state, double weight, long startedMicros) {}
 
+    /** The version of the endpoint data that this list leads to. */
     public final long version;
-    private final boolean whole;
-    private final List<Entry> entries;
+    private final boolean complete;
+    private final List<ListedEndpoint> endpoints;
 
-    private EndpointList(long version, boolean whole, List<Entry> entries) {
+    private EndpointList(long version, boolean complete, List<ListedEndpoint> endpoints) {
         this.version = version;
-        this.whole = whole;
-        this.entries = entries;
+        this.complete = complete;
+        this.endpoints = endpoints;
     }
 
-    /** Throws IllegalArgumentException where it cannot be read. */
+    /**
+     * Parses a text that holds one list as a JSON object.
+     *
+     * @throws IllegalArgumentException if the text is not a valid list
+     */
     public static EndpointList read(byte[] bytes) {
         return Tokens.read(bytes, EndpointList::read);
     }
 
-    /** The list at whose first token the parser stands. */
-    public static EndpointList read(JsonParser at) throws IOException {
+    /**
+     * Parses a list as part of a larger JSON text; the parser must be at the first token of the list.
+     *
+     * @throws IllegalArgumentException if the list is not valid
+     * @throws IOException if the JSON is not valid
+     */
+    public static EndpointList read(JsonParser parser) throws IOException {
         double[] version = {Double.NaN};
-        boolean[] whole = {false};
-        List<Entry> entries = new ArrayList<>();
-        boolean[] listed = {false};
-        Tokens.object(at, (name, value) -> {
+        boolean[] complete = {false};
+        List<ListedEndpoint> endpoints = new ArrayList<>();
+        boolean[] hasEndpoints = {false};
+        Tokens.object(parser, (name, value) -> {
             switch (name) {
                 case "version" -> version[0] = Tokens.number(value);
-                case "full" -> whole[0] = value.currentToken() == JsonToken.VALUE_TRUE;
+                case "full" -> complete[0] = value.currentToken() == JsonToken.VALUE_TRUE;
                 case "servers" -> {
-                    entries.clear();
-                    listed[0] = true;
-                    Tokens.list(value, element -> entries.add(entry(element)));
+                    endpoints.clear();
+                    hasEndpoints[0] = true;
+                    Tokens.list(value, element -> endpoints.add(readEndpoint(element)));
                 }
                 default -> value.skipChildren();
             }
         });
-        if (Double.isNaN(version[0]) || !listed[0]) {
-            throw Tokens.fault(at, "a list without " + (listed[0] ? "version" : "servers"));
+        if (Double.isNaN(version[0]) || !hasEndpoints[0]) {
+            throw Tokens.fault(parser,
+                "endpoint list has no member " + (hasEndpoints[0] ? "version" : "servers"));
         }
-        return new EndpointList((long) version[0], whole[0], entries);
+        return new EndpointList((long) version[0], complete[0], endpoints);
     }
 
-    private static Entry entry(JsonParser at) throws IOException {
+    private static ListedEndpoint readEndpoint(JsonParser parser) throws IOException {
         String[] texts = new String[5];
-        double[] figures = {Double.NaN, Double.NaN, Double.NaN};
-        Tokens.object(at, (name, value) -> {
+        double[] numbers = {Double.NaN, Double.NaN, Double.NaN};
+        Tokens.object(parser, (name, value) -> {
             switch (name) {
                 case "id" -> texts[0] = Tokens.text(value);
                 case "addr" -> texts[1] = Tokens.text(value);
                 case "zone" -> texts[2] = Tokens.text(value);
                 case "kind" -> texts[3] = Tokens.text(value);
                 case "state" -> texts[4] = Tokens.text(value);
-                case "cell" -> figures[0] = Tokens.number(value);
-                case "weight" -> figures[1] = Tokens.number(value);
-                case "started_ms" -> figures[2] = Tokens.number(value);
+                case "cell" -> numbers[0] = Tokens.number(value);
+                case "weight" -> numbers[1] = Tokens.number(value);
+                case "started_ms" -> numbers[2] = Tokens.number(value);
                 default -> value.skipChildren();
             }
         });
         for (String text : texts) {
             if (text == null) {
-                throw Tokens.fault(at,
-                    "an entry without one of id, addr, zone, kind and state, before the end");
+                throw Tokens.fault(parser, "endpoint entry lacks one of id, addr, zone, kind and state");
             }
         }
-        for (double figure : figures) {
-            if (Double.isNaN(figure)) {
-                throw Tokens.fault(at, "an entry without one of cell, weight and started_ms, before the end");
+        for (double number : numbers) {
+            if (Double.isNaN(number)) {
+                throw Tokens.fault(parser, "endpoint entry lacks one of cell, weight and started_ms");
             }
         }
-        int phase = PHASES.indexOf(texts[4]);
-        if (phase < 0) {
-            throw Tokens.fault(at, "unknown state " + texts[4]);
+        int state = STATES.indexOf(texts[4]);
+        if (state < 0) {
+            throw Tokens.fault(parser, "endpoint state is not one of up, draining and removed: " + texts[4]);
         }
-        return new Entry(texts[0], parseAddress(texts[1]), texts[2], texts[3],
-            String.valueOf((long) figures[0]),
-            phase,
-            figures[1], (long) (figures[2] * 1000));
+        // The JSON identifies a destination by a whole number, which it calls "cell".
+        return new ListedEndpoint(texts[0], parseAddress(texts[1]), texts[2], texts[3],
+            String.valueOf((long) numbers[0]), state, numbers[1], (long) (numbers[2] * 1000));
     }
 
-    /** Hands the entries over, between a beginning and an end. */
+    /** Passes the whole list to the listener. */
     public void notifyListener(Listener listener) {
-        listener.listStarted(whole);
-        for (Entry e : entries) {
-            listener.endpointListed(e.id, e.address, e.zone, e.kind, e.destination, e.phase, e.rate, e.since);
+        listener.listStarted(complete);
+        for (ListedEndpoint endpoint : endpoints) {
+            listener.endpointListed(endpoint.id, endpoint.address, endpoint.zone, endpoint.kind,
+                endpoint.destination, endpoint.state, endpoint.weight, endpoint.startedMicros);
         }
         listener.listEnded();
     }
 
-    /** Reads a numeric address with a port; anything else is an IllegalArgumentException. */
+    /**
+     * Parses a numeric IPv4 or IPv6 address with a port, such as 127.0.0.1:8080 or [::1]:8080.
+     *
+     * @throws IllegalArgumentException if the text is anything else, also a host name
+     */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon)).replaceAll("^\\[|\\]$", "");
         String port = text.substring(colon + 1);
-        // Numbers only: resolving a name would block.
+        // Host names are not accepted, because resolving one would block the thread.
         if (!host.matches("[0-9.]+|[0-9a-fA-F:.]*:[0-9a-fA-F:.]*") || !port.matches("[0-9]{1,5}")
             || Integer.parseInt(port) > 65535) {
-            throw new IllegalArgumentException("not an address with a port: " + text);
+            throw new IllegalArgumentException("not a numeric IP address with a port: " + text);
         }
         return new InetSocketAddress(host, Integer.parseInt(port));
     }
--- a/relay/src/main/java/yewpath/directory/package-info.java
+++ b/relay/src/main/java/yewpath/directory/package-info.java
@@ -1,2 +1,5 @@
-/** Service discovery: the watch on the platform's registry and the list of endpoints read from it. */
+/**
+ * Service discovery: the client that watches the platform's registry, and the lists of endpoints that it
+ * receives.
+ */
 package yewpath.directory;
