--- a/relay/src/main/java/yewpath/outcome/NoticeSender.java
+++ b/relay/src/main/java/yewpath/outcome/NoticeSender.java
@@ -18,144 +18,159 @@
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
 
-/** Tells the platform of envelopes that ended undelivered, again and again until it has heard. */
+/**
+ * Notifies the platform of messages that ended without delivery. Notices are sent in batches, one batch at a
+ * time, and each is repeated until the platform acknowledges it.
+ */
 public final class NoticeSender {
     private final Loop loop;
     private final Limits limits;
     private InetSocketAddress platform;
-    private final Consumer<LedgerEntry> told;
-    private final ArrayDeque<LedgerEntry> owed = new ArrayDeque<>();
+    private final Consumer<LedgerEntry> onAcknowledged;
+    private final ArrayDeque<LedgerEntry> queue = new ArrayDeque<>();
     private ServerConnection connection;
+    /** Whether a batch is in flight or waits for its retry. */
     private boolean busy;
-    private int underWay;
-    private Loop.Timer pause;
-    private long backoff;
-    private int atOnce;
+    private int inFlightCount;
+    /** Null unless a retry is scheduled. */
+    private Loop.Timer retryTimer;
+    private long backoffMicros;
+    private int maxBatchSize;
 
-    /** Sends to this platform; {@code told} hears of each notice that was acknowledged. */
-    public NoticeSender(Loop loop, Limits limits, InetSocketAddress platform, Consumer<LedgerEntry> told) {
+    /**
+     * Creates a sender that has nothing to send yet.
+     *
+     * @param platform the address of the platform
+     * @param onAcknowledged called for each notice that the platform acknowledged, or refused for good
+     */
+    public NoticeSender(Loop loop, Limits limits, InetSocketAddress platform,
+        Consumer<LedgerEntry> onAcknowledged) {
         this.loop = loop;
         this.limits = limits;
         this.platform = platform;
-        this.told = told;
-        atOnce = limits.noticesAtOnce();
+        this.onAcknowledged = onAcknowledged;
+        maxBatchSize = limits.noticesAtOnce();
     }
 
+    /** Queues the notice of a message that ended without delivery. */
     public void add(LedgerEntry entry) {
-        owed.add(entry);
-        next();
+        queue.add(entry);
+        sendNextBatch();
     }
 
     /**
-     * What has no answer yet goes again, to the new address: hearing of an end twice does no harm. It goes at once: a
-     * pause begun at the old address, or one that closing the connection there brings, is no reason for it to be late.
+     * Changes the address of the platform. Notices without an answer are sent again to the new address, which
+     * does no harm if the platform has received them before. They are sent at once: neither a retry delay
+     * that began with the old address nor one caused by closing the connection to it may make them late.
      */
     public void setAddress(InetSocketAddress address) {
         platform = address;
         if (connection != null) {
             connection.close(CloseReason.REPLACED);
         }
-        backoff = 0;
-        if (pause != null) {
-            pause.callOff();
-            goOn();
+        backoffMicros = 0;
+        if (retryTimer != null) {
+            retryTimer.callOff();
+            retry();
         }
     }
 
-    /** How many the platform has not heard yet, those under way included. */
+    /** Returns how many notices the platform has not acknowledged, including those in flight. */
     public int unacknowledgedCount() {
-        return owed.size() + underWay;
+        return queue.size() + inFlightCount;
     }
 
-    /** Whether the platform is being told, and has not failed to hear the last time. */
+    /** Returns whether a batch is in flight and the one before it was acknowledged. */
     public boolean isSending() {
-        return busy && pause == null && backoff == 0;
+        return busy && retryTimer == null && backoffMicros == 0;
     }
 
-    private void next() {
-        if (busy || owed.isEmpty()) {
+    private void sendNextBatch() {
+        if (busy || queue.isEmpty()) {
             return;
         }
         busy = true;
         List<LedgerEntry> batch = new ArrayList<>();
-        while (!owed.isEmpty() && batch.size() < atOnce) {
-            LedgerEntry entry = owed.poll();
+        while (!queue.isEmpty() && batch.size() < maxBatchSize) {
+            LedgerEntry entry = queue.poll();
             batch.add(entry);
         }
-        underWay = batch.size();
+        inFlightCount = batch.size();
         if (connection == null || connection.isClosed()) {
             connection = new ServerConnection(loop, limits, platform, limits.bodyMost());
         }
         byte[] request = Writer.request("POST", "/v1/outcomes", platform)
             .with("Content-Type", "application/json").done(Tokens.write(out -> {
                 for (LedgerEntry entry : batch) {
-                    line(out, entry);
+                    writeNotice(out, entry);
                 }
             }));
-        // Longer after each failure, or a platform that is only slow would never be heard.
-        Loop.Timer within = loop.after(limits.noticeWithin() + backoff,
+        // The timeout grows with each failure, because a slow platform could otherwise never answer in time.
+        Loop.Timer timeout = loop.after(limits.noticeWithin() + backoffMicros,
             () -> connection.close(CloseReason.NO_ANSWER));
         connection.ask(request, new ServerConnection.Answer() {
             @Override
             public void whole(Parser answer) {
-                within.callOff();
-                answered(batch, answer.status());
+                timeout.callOff();
+                handleAnswer(batch, answer.status());
             }
 
             @Override
             public void failed(boolean sent, Parser answer) {
-                within.callOff();
-                again(batch);
+                timeout.callOff();
+                retryLater(batch);
             }
         });
     }
 
-    private static void line(JsonGenerator out, LedgerEntry entry) throws IOException {
+    private static void writeNotice(JsonGenerator out, LedgerEntry entry) throws IOException {
         out.writeStartObject();
         out.writeStringField("message", entry.id);
         out.writeStringField("outcome", entry.rejected ? "handed_back" : "given_up");
         if (entry.rejected && entry.retryAfterMicros > 0) {
+            // Rounded up to whole milliseconds.
             out.writeNumberField("retry_in_ms", (entry.retryAfterMicros + 999) / 1000);
         }
         out.writeEndObject();
         out.writeRaw('\n');
     }
 
-    private void answered(List<LedgerEntry> batch, int status) {
+    private void handleAnswer(List<LedgerEntry> batch, int status) {
         if (status == 400 && batch.size() > 1) {
-            // One that cannot be read must not hold up the others: each goes by itself.
-            atOnce = 1;
-            again(batch);
+            // One notice that the platform cannot read must not block the others, so each is sent by itself.
+            maxBatchSize = 1;
+            retryLater(batch);
             return;
         }
         if (status != 204 && status != 400) {
-            again(batch);
+            retryLater(batch);
             return;
         }
         if (status == 400) {
             Log.tell(Event.NOTICE_REFUSED, batch.get(0).id);
         }
-        atOnce = limits.noticesAtOnce();
-        underWay = 0;
+        maxBatchSize = limits.noticesAtOnce();
+        inFlightCount = 0;
         busy = false;
-        backoff = 0;
-        batch.forEach(told);
-        next();
+        backoffMicros = 0;
+        batch.forEach(onAcknowledged);
+        sendNextBatch();
     }
 
-    private void again(List<LedgerEntry> batch) {
-        underWay = 0;
+    /** Puts a batch back at the head of the queue in its order and schedules a retry. */
+    private void retryLater(List<LedgerEntry> batch) {
+        inFlightCount = 0;
         for (int i = batch.size() - 1; i >= 0; i--) {
-            owed.addFirst(batch.get(i));
+            queue.addFirst(batch.get(i));
         }
-        backoff = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoff));
-        Log.tell(Event.NOTICE_UNHEARD, batch.size(), backoff / 1000);
-        pause = loop.after(backoff, this::goOn);
+        backoffMicros = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoffMicros));
+        Log.tell(Event.NOTICE_UNHEARD, batch.size(), backoffMicros / 1000);
+        retryTimer = loop.after(backoffMicros, this::retry);
     }
 
-    private void goOn() {
-        pause = null;
+    private void retry() {
+        retryTimer = null;
         busy = false;
-        next();
+        sendNextBatch();
     }
 }
