--- a/relay/src/main/java/yewpath/delivery/Call.java
+++ b/relay/src/main/java/yewpath/delivery/Call.java
@@ -139,7 +139,7 @@
         }
         if (!begun
             || !connection.isSendComplete()
-            && (outcome == PolicyActions.CANCELLED || loop.nowMicros() >= one.expiry())) {
+                && (outcome == PolicyActions.CANCELLED || loop.nowMicros() >= one.expiry())) {
             // Nothing of it has arrived whole: a once-only envelope is not in doubt for a connection slow to open.
             takeBack();
             return;
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -13,17 +13,17 @@
 import yewpath.boot.Boot;
 import yewpath.delivery.Call;
 import yewpath.delivery.Delivery;
-import yewpath.directory.Watch;
+import yewpath.directory.DiscoveryClient;
 import yewpath.events.Event;
 import yewpath.events.Log;
 import yewpath.intake.ClientListener;
 import yewpath.intake.MessageIntake;
 import yewpath.json.Tokens;
-import yewpath.ledger.Entry;
+import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
 import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.outcome.Notices;
+import yewpath.outcome.NoticeSender;
 
 /**
  * The one that speaks with Logic. A round: what was gathered is handed in, Logic closes the round, the ledger
@@ -52,9 +52,9 @@
     private final Boot boot;
     private final DeliveryPolicy logic;
     private final Delivery delivery;
-    private final Notices notices;
+    private final NoticeSender notices;
     private final Endpoints endpoints;
-    private final Watch watch;
+    private final DiscoveryClient watch;
     private final HeldMessages envelopes;
     private final KeyOrder keyOrder = new KeyOrder();
     private final Shutdown closing;
@@ -80,7 +80,7 @@
         Limits limits = config.limits;
         PolicySettings settings = boot.settings;
         unknownOffering = settings.messageClasses.length;
-        if (ledger.live().stream().anyMatch(entry -> boot.offerings.find(entry.offering) < 0)) {
+        if (ledger.entries().stream().anyMatch(entry -> boot.offerings.find(entry.messageClass) < 0)) {
             addUnknown(settings);
         }
         // A call that finds all connections in use would have none: what Logic may have out is what can be held.
@@ -89,18 +89,18 @@
         tellsPause = settings.reportsRetryAfter;
         envelopes = new HeldMessages(settings.settleAfterUncertainMicros);
         closing = new Shutdown(loop, limits);
-        notices = new Notices(loop, limits, config.discovery, this::told);
+        notices = new NoticeSender(loop, limits, config.discovery, this::told);
         ledgerWriter = new LedgerWriter(loop, ledger, notices::add);
         delivery = new Delivery(loop, limits, boot.reportFields, ledgerWriter::flush);
         loop.setRoundAction(this::round);
         logic = new DeliveryPolicy(settings, config.seed, this, loop.nowMicros());
         endpoints = new Endpoints(boot, logic, delivery);
-        watch = new Watch(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
+        watch = new DiscoveryClient(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
             settings.listOnRequest ? () -> loop.enqueue(logic::endpointListFailed) : null);
         if (!settings.listOnRequest) {
-            watch.follow();
+            watch.startWatch();
         }
-        ledger.live().forEach(this::restore);
+        ledger.entries().forEach(this::restore);
         listBy = settings.listOnRequest ? 0 : loop.nowMicros() + limits.connectTimeoutMicros();
         loop.schedule(limits.connectTimeoutMicros(), loop::requestRound);
         loop.requestRound();
@@ -133,24 +133,25 @@
             PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, true);
     }
 
-    private void restore(Entry entry) {
+    private void restore(LedgerEntry entry) {
         if (entry.noticeOwed) {
             owe(entry);
             return;
         }
-        int offering = boot.offerings.find(entry.offering);
+        int offering = boot.offerings.find(entry.messageClass);
         hand(envelopes.add(entry, loop.nowMicros()), offering < 0 ? unknownOffering : offering,
-            boot.zones.of(entry.doubtZone));
+            boot.zones.of(entry.uncertainZone));
         if (Log.tells(Event.ENVELOPE_RESTORED)) {
-            Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.shots, entry.doubtSince >= 0);
+            Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.attempts, entry.uncertainSinceMicros >= 0);
         }
     }
 
     private void hand(HeldMessage one, int offering, int doubtZone) {
-        Entry entry = one.entry;
+        LedgerEntry entry = one.entry;
         logic.messageAccepted(one.index, offering,
             entry.tenant == null ? -1 : boot.tenants.find(entry.tenant), one.key,
-            endpoints.destination(entry.destination), entry.expiry, entry.shots, entry.doubtSince, doubtZone);
+            endpoints.destination(entry.destination), entry.deadlineMicros, entry.attempts,
+            entry.uncertainSinceMicros, doubtZone);
     }
 
     // ---- Rounds
@@ -212,8 +213,8 @@
             out.writeNumberField("open", envelopes.open());
             out.writeNumberField("calls_out", delivery.callsOut());
             out.writeNumberField("endpoint_links", delivery.links());
-            out.writeNumberField("notices_owed", notices.owed());
-            out.writeNumberField("ledger_bytes", ledger.bytes());
+            out.writeNumberField("notices_owed", notices.unacknowledgedCount());
+            out.writeNumberField("ledger_bytes", ledger.fileBytes());
             out.writeBooleanField("ledger_writable", ledger.isWritable());
             out.writeNumberField("rounds", rounds);
             out.writeNumberField("taken", takenEver);
@@ -243,9 +244,9 @@
             reply.with(202, 0);
             return;
         }
-        Entry entry = ledger.draft(id, offering, tenant, key, tag, destination, expiry, body);
+        LedgerEntry entry = ledger.createEntry(id, offering, tenant, key, tag, destination, expiry, body);
         String refusal = isClosing() ? "closing" : !ledger.isWritable() ? "disk"
-            : envelopes.open() >= holdLimit ? "hold" : !ledger.hasRoom(entry) ? "ledger"
+            : envelopes.open() >= holdLimit ? "hold" : !ledger.hasRoomFor(entry) ? "ledger"
                 // Held, it would take the room of others until its expiry, and each such number would be kept for good; but
                 // the list that names it may only be late, so the client is to come again.
                 : !endpoints.knowsDestination(destination) ? "unlisted" : null;
@@ -254,7 +255,7 @@
             return;
         }
         // Written down at once, so that the next of the same round finds what room is left.
-        ledger.taken(entry);
+        ledger.recordAccepted(entry);
         HeldMessage one = envelopes.add(entry, loop.nowMicros());
         one.reply = reply;
         taken.add(one);
@@ -301,7 +302,7 @@
     private void letGo(HeldMessage one) {
         if (!one.over) {
             logic.messageWithdrawn(one.index);
-            ledger.over(one.entry);
+            ledger.recordCompleted(one.entry);
             envelopes.end(one, loop.nowMicros());
         }
     }
@@ -314,8 +315,8 @@
         one.leaveBy = leaveBy;
         one.shotsOut++;
         one.shots++;
-        long endsAt = withinMicros > 0 ? Math.min(one.entry.expiry, loop.nowMicros() + withinMicros)
-            : one.entry.expiry;
+        long endsAt = withinMicros > 0 ? Math.min(one.entry.deadlineMicros, loop.nowMicros() + withinMicros)
+            : one.entry.deadlineMicros;
         Sending sending = joining.get(endpoint);
         if (sending == null || sending.carried.size() >= endpoints.bundle(endpoint)) {
             Sending begun = new Sending(endpoint);
@@ -349,8 +350,8 @@
     }
 
     /** One of an offering that is not known any more may have been. */
-    private boolean isOrdered(Entry entry) {
-        int offering = boot.offerings.find(entry.offering);
+    private boolean isOrdered(LedgerEntry entry) {
+        int offering = boot.offerings.find(entry.messageClass);
         return entry.key != null && (offering < 0 || boot.settings.messageClasses[offering].ordered());
     }
 
@@ -379,7 +380,7 @@
 
         @Override
         public String tag() {
-            return one.entry.tag;
+            return one.entry.idempotencyKey;
         }
 
         @Override
@@ -389,7 +390,7 @@
 
         @Override
         public long expiry() {
-            return one.entry.expiry;
+            return one.entry.deadlineMicros;
         }
 
         @Override
@@ -399,7 +400,7 @@
 
         @Override
         public void leaving() {
-            ledger.shot(one.entry, loop.nowMicros(), endpoints.zone(endpoint));
+            ledger.recordAttempt(one.entry, loop.nowMicros(), endpoints.zone(endpoint));
             if (Log.tells(Event.ENVELOPE_SHOT)) {
                 Log.tell(Event.ENVELOPE_SHOT, one.entry.id, number, endpoints.name(endpoint));
             }
@@ -425,9 +426,9 @@
         private void settle(int outcome, long wait, boolean over, long elapsed, double left, double limit) {
             if (over && !one.over) {
                 fulfilledEver += outcome == DELIVERED ? 1 : 0;
-                ledger.over(one.entry);
+                ledger.recordCompleted(one.entry);
             } else if (!one.over) {
-                ledger.back(one.entry,
+                ledger.recordAttemptEnded(one.entry,
                     outcome == OVERLOADED || outcome == UNREACHABLE || outcome == NOT_EXECUTED);
             }
             one.call = null;
@@ -507,23 +508,23 @@
         envelopes.end(one, loop.nowMicros());
         if (one.reply != null) {
             Reply reply = one.reply;
-            ledger.over(one.entry);
+            ledger.recordCompleted(one.entry);
             acts.add(() -> reply.with(handedBack ? 503 : 500, pause));
         } else {
-            ledger.owed(one.entry, handedBack, pause);
+            ledger.recordNoticeOwed(one.entry, handedBack, pause);
             acts.add(() -> owe(one.entry));
         }
     }
 
-    private void owe(Entry entry) {
+    private void owe(LedgerEntry entry) {
         if (isOrdered(entry)) {
             keyOrder.begin(entry.key, entry);
         }
         ledgerWriter.tellOnceWritten(entry);
     }
 
-    private void told(Entry entry) {
-        ledger.over(entry);
+    private void told(LedgerEntry entry) {
+        ledger.recordCompleted(entry);
         keyOrder.end(entry);
         loop.requestRound();
     }
@@ -537,20 +538,20 @@
 
     @Override
     public void requestEndpointList(boolean follow) {
-        acts.add(follow ? watch::follow : watch::fetch);
+        acts.add(follow ? watch::startWatch : watch::fetchList);
     }
 
     /** Held envelopes, calls and clients know nothing of it. */
     void discoveryAt(InetSocketAddress address) {
-        watch.move(address);
-        notices.move(address);
+        watch.setAddress(address);
+        notices.setAddress(address);
     }
 
     // ---- Closing
 
     void close(ClientListener listener, CountDownLatch gone) {
         Log.tell(Event.RELAY_CLOSING, envelopes.open(), delivery.callsOut());
-        closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isTelling(),
+        closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isSending(),
             () -> envelopes.open() > 0,
             gone);
     }
