--- a/configuration/src/main/java/yewpath/configuration/Shape.java
+++ b/configuration/src/main/java/yewpath/configuration/FileSchema.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** What a file may hold: keys by path, lists of tables by name, and tables whose keys are free. */
-public final class Shape {
+public final class FileSchema {
     final Map<String, Key> keys = new LinkedHashMap<>();
     final Map<String, String> tables;
     final Map<String, List<Key>> lists;
@@ -16,7 +16,7 @@
      * ([[name]]), whose keys have paths without the name. {@code free} is the table whose keys are numbers or lists of
      * numbers under any name; null for none.
      */
-    public Shape(List<Key> keys, Map<String, String> tables, Map<String, List<Key>> lists, String free) {
+    public FileSchema(List<Key> keys, Map<String, String> tables, Map<String, List<Key>> lists, String free) {
         keys.forEach(key -> this.keys.put(key.path, key));
         this.tables = tables;
         this.lists = lists;
--- a/configuration/src/main/java/yewpath/configuration/Key.java
+++ b/configuration/src/main/java/yewpath/configuration/Key.java
@@ -2,80 +2,102 @@
 
 import java.util.List;
 
-/**
- * One thing that may be set: {@code path} in the file, its type, what holds where the file says nothing,
- * the range, whether a running relay takes it up on SIGHUP, and a sentence for the reference.
- */
+/** A setting that a configuration file may contain: its path, type, default, allowed values and description. */
 public final class Key {
+    /** Dotted path in the file, such as {@code clients.backlog}. */
     public final String path;
-    public final Type type;
-    /** Null where it follows from other figures; the sentence says from which. */
-    public final Object standard;
-    public final double least;
-    public final double most;
-    /** Empty but for {@link Type#WORD}. */
-    public final List<String> words;
-    public final boolean live;
-    public final String sentence;
+    /** Type of the value, which also decides its unit in memory. */
+    public final ValueType type;
+    /** Default in the in-memory unit; null if it is derived from other values, which the description names. */
+    public final Object defaultValue;
+    /** Smallest allowed number, in the in-memory unit. */
+    public final double minimum;
+    /** Largest allowed number, in the in-memory unit. */
+    public final double maximum;
+    /** Allowed words; empty unless the type is {@link ValueType#CHOICE}. */
+    public final List<String> choices;
+    /** Whether a running relay applies a changed value on SIGHUP; otherwise the change needs a restart. */
+    public final boolean reloadable;
+    /** One sentence for the reference page. */
+    public final String description;
 
-    private Key(String path, Type type, Object standard, double least, double most, List<String> words,
-        boolean live,
-        String sentence) {
+    private Key(String path, ValueType type, Object defaultValue, double minimum, double maximum,
+        List<String> choices,
+        boolean reloadable,
+        String description) {
         this.path = path;
         this.type = type;
-        this.standard = standard;
-        this.least = least;
-        this.most = most;
-        this.words = words;
-        this.live = live;
-        this.sentence = sentence;
+        this.defaultValue = defaultValue;
+        this.minimum = minimum;
+        this.maximum = maximum;
+        this.choices = choices;
+        this.reloadable = reloadable;
+        this.description = description;
     }
 
-    /** {@code standard} may be null; the bounds are in the unit inside. */
-    public static Key number(String path, Type type, Object standard, double least, double most, boolean live,
-        String sentence) {
-        return new Key(path, type, standard, least, most, List.of(), live, sentence);
+    /**
+     * Creates a key with a numeric value.
+     *
+     * @param defaultValue default in the in-memory unit of {@code type}; null if it is derived
+     * @param minimum smallest allowed value in the same unit
+     * @param maximum largest allowed value in the same unit
+     */
+    public static Key number(String path, ValueType type, Object defaultValue, double minimum, double maximum,
+        boolean reloadable, String description) {
+        return new Key(path, type, defaultValue, minimum, maximum, List.of(), reloadable, description);
     }
 
-    public static Key word(String path, String standard, List<String> words, boolean live, String sentence) {
-        return new Key(path, Type.WORD, standard, 0, 0, words, live, sentence);
+    /** Creates a key whose value is one of {@code choices}. */
+    public static Key choice(String path, String defaultValue, List<String> choices, boolean reloadable,
+        String description) {
+        return new Key(path, ValueType.CHOICE, defaultValue, 0, 0, choices, reloadable, description);
     }
 
-    /** A text, flag or list of texts; {@code standard} may be null. */
-    public static Key plain(String path, Type type, Object standard, String sentence) {
-        return new Key(path, type, standard, 0, 0, List.of(), false, sentence);
+    /**
+     * Creates a key of type string, boolean or string list, which accepts every value of its type.
+     *
+     * @param defaultValue default; null if there is none
+     */
+    public static Key unbounded(String path, ValueType type, Object defaultValue, String description) {
+        return new Key(path, type, defaultValue, 0, 0, List.of(), false, description);
     }
 
+    /** Returns the name of the table that contains this key: the path up to the first dot. */
     public String table() {
         return path.substring(0, path.indexOf('.'));
     }
 
-    /** The value inside of one in the file; throws IllegalArgumentException with what would be right. */
-    Object read(Object written) {
-        Object value = type.read(written);
-        if (type == Type.WORD && !words.contains(value) || value instanceof Number figure
-            && !(figure.doubleValue() >= least && figure.doubleValue() <= most)) {
+    /**
+     * Converts a value of the file to its in-memory form.
+     *
+     * @throws IllegalArgumentException if the type or range is wrong; the message says what is expected
+     */
+    Object parse(Object fileValue) {
+        Object value = type.parse(fileValue);
+        if (type == ValueType.CHOICE && !choices.contains(value) || value instanceof Number number
+            && !(number.doubleValue() >= minimum && number.doubleValue() <= maximum)) {
             throw new IllegalArgumentException("should be " + range());
         }
         return value;
     }
 
-    /** Returns the values allowed, in words. */
+    /** Describes the allowed values, such as "from 1 to 65535". */
     public String range() {
-        if (type == Type.TEXT || type == Type.FLAG || type == Type.TEXTS) {
-            return type.example;
+        if (type == ValueType.STRING || type == ValueType.BOOLEAN || type == ValueType.STRING_LIST) {
+            return type.expectedForm;
         }
-        if (type == Type.WORD) {
-            return "one of " + String.join(", ", words);
+        if (type == ValueType.CHOICE) {
+            return "one of " + String.join(", ", choices);
         }
-        return "from " + bound(least) + " to " + bound(most);
+        return "from " + formatBound(minimum) + " to " + formatBound(maximum);
     }
 
-    private String bound(double figure) {
-        return type == Type.PART ? type.show(figure) : type.show((long) figure).replace("\"", "");
+    private String formatBound(double bound) {
+        return type == ValueType.FRACTION ? type.format(bound) : type.format((long) bound).replace("\"", "");
     }
 
-    public String standardShown() {
-        return standard == null ? "derived" : type.show(standard);
+    /** Returns the default as written in a file, or "derived" if it depends on other values. */
+    public String formattedDefault() {
+        return defaultValue == null ? "derived" : type.format(defaultValue);
     }
 }
--- a/configuration/src/main/java/yewpath/configuration/Values.java
+++ b/configuration/src/main/java/yewpath/configuration/SettingValues.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 
 /** What a file says, over what holds where it says nothing. */
-public final class Values {
+public final class SettingValues {
     private final Map<Key, Object> told = new HashMap<>();
     private final Map<Key, String> places = new HashMap<>();
-    final Map<String, List<Values>> lists = new HashMap<>();
+    final Map<String, List<SettingValues>> lists = new HashMap<>();
     final Map<String, List<Double>> free = new LinkedHashMap<>();
 
     void put(Key key, Object value, String place) {
@@ -17,26 +17,26 @@
         places.put(key, place);
     }
 
-    public boolean isTold(Key key) {
+    public boolean isSet(Key key) {
         return told.containsKey(key);
     }
 
     /** Null where neither the file nor the key names a value. */
     public Object value(Key key) {
-        return told.getOrDefault(key, key.standard);
+        return told.getOrDefault(key, key.defaultValue);
     }
 
     /** Of counts, spans (microseconds) and sizes (bytes). */
-    public long figure(Key key) {
+    public long number(Key key) {
         return (Long) value(key);
     }
 
-    public double part(Key key) {
+    public double fraction(Key key) {
         return (Double) value(key);
     }
 
     /** Of words and texts. */
-    public String word(Key key) {
+    public String string(Key key) {
         return (String) value(key);
     }
 
@@ -45,13 +45,13 @@
     }
 
     @SuppressWarnings("unchecked")
-    public List<String> texts(Key key) {
+    public List<String> strings(Key key) {
         return (List<String>) value(key);
     }
 
     /** "file:line", "default" or "derived". */
     public String origin(Key key) {
-        return places.getOrDefault(key, key.standard == null ? "derived" : "default");
+        return places.getOrDefault(key, key.defaultValue == null ? "derived" : "default");
     }
 
     /** The line of a told key; 0 of another. */
@@ -61,12 +61,12 @@
     }
 
     /** The tables of a list, in the file's order. */
-    public List<Values> list(String name) {
+    public List<SettingValues> tables(String name) {
         return lists.getOrDefault(name, List.of());
     }
 
     /** The keys of the free table, each with its numbers. */
-    public Map<String, List<Double>> free() {
+    public Map<String, List<Double>> freeNumbers() {
         return free;
     }
 }
--- a/configuration/src/main/java/yewpath/configuration/TomlFile.java
+++ b/configuration/src/main/java/yewpath/configuration/TomlFile.java
@@ -20,14 +20,14 @@
 /** Reads a file of settings (TOML 1.0) and finds every fault in it at once. */
 public final class TomlFile {
     /** Checks of what must fit together, asked once each value is right by itself. */
-    public interface Together {
+    public interface CrossCheck {
         /** {@code fault} takes the line, 0 for none, and what is wrong. */
-        void check(Values all, Fault fault);
+        void check(SettingValues all, ErrorReporter fault);
     }
 
     /** Where a fault is told. */
-    public interface Fault {
-        void at(int line, String what);
+    public interface ErrorReporter {
+        void report(int line, String what);
     }
 
     /** Past this it is no file of settings; guards against reading a device or a dump into a small heap. */
@@ -35,39 +35,42 @@
 
     private record Told(int line, String text) {}
 
-    private final Shape shape;
+    private final FileSchema shape;
     private final String name;
     private final List<Told> faults = new ArrayList<>();
-    private final Values values = new Values();
+    private final SettingValues values = new SettingValues();
 
-    private TomlFile(Shape shape, String name) {
+    private TomlFile(FileSchema shape, String name) {
         this.shape = shape;
         this.name = name;
     }
 
     /** Reads a file and checks it against its shape; all faults are reported at once. */
-    public static Values read(String path, Shape shape, Together together) throws Faults {
+    public static SettingValues read(String path, FileSchema shape, CrossCheck together)
+        throws ConfigurationException {
         try {
             Path at = Path.of(path);
             if (Files.size(at) > MOST) {
-                throw new Faults(List.of(path + ": over " + MOST + " bytes, so no file of settings"));
+                throw new ConfigurationException(
+                    List.of(path + ": over " + MOST + " bytes, so no file of settings"));
             }
             return parse(path, Files.readString(at), shape, together);
         } catch (NoSuchFileException e) {
-            throw new Faults(List.of(path + ": no such file"));
+            throw new ConfigurationException(List.of(path + ": no such file"));
         } catch (CharacterCodingException e) {
-            throw new Faults(List.of(path + ": not UTF-8"));
+            throw new ConfigurationException(List.of(path + ": not UTF-8"));
         } catch (IOException e) {
-            throw new Faults(List.of(path + ": cannot be read: " + e.getMessage()));
+            throw new ConfigurationException(List.of(path + ": cannot be read: " + e.getMessage()));
         }
     }
 
     /** The same of a text that stands in no file; {@code name} is what faults call it. */
-    public static Values parse(String name, String text, Shape shape, Together together) throws Faults {
+    public static SettingValues parse(String name, String text, FileSchema shape, CrossCheck together)
+        throws ConfigurationException {
         return new TomlFile(shape, name).read(Toml.parse(text), together);
     }
 
-    private Values read(TomlParseResult toml, Together together) throws Faults {
+    private SettingValues read(TomlParseResult toml, CrossCheck together) throws ConfigurationException {
         toml.errors().forEach(error -> fault(error.position(), error.getMessage()));
         if (faults.isEmpty()) {
             // Of a text that can't be parsed only pieces are there: what they lack would be told as faults too.
@@ -78,7 +81,7 @@
         }
         if (!faults.isEmpty()) {
             faults.sort(Comparator.comparingInt(Told::line));
-            throw new Faults(faults.stream().map(Told::text).toList());
+            throw new ConfigurationException(faults.stream().map(Told::text).toList());
         }
         return values;
     }
@@ -113,9 +116,9 @@
         }
     }
 
-    private void entry(Key key, String above, Object value, TomlPosition at, Values into) {
+    private void entry(Key key, String above, Object value, TomlPosition at, SettingValues into) {
         try {
-            into.put(key, key.read(value), name + ":" + at.line());
+            into.put(key, key.parse(value), name + ":" + at.line());
         } catch (IllegalArgumentException unfit) {
             fault(at, above + key.path + " " + unfit.getMessage() + "; it is " + shown(value));
         }
@@ -127,11 +130,11 @@
             fault(at, path + " should be tables, each headed by [[" + path + "]]; it is " + shown(value));
             return;
         }
-        List<Values> all = new ArrayList<>();
+        List<SettingValues> all = new ArrayList<>();
         values.lists.put(path, all);
         for (int i = 0; i < array.size(); i++) {
             TomlTable one = array.getTable(i);
-            Values into = new Values();
+            SettingValues into = new SettingValues();
             all.add(into);
             for (String key : one.keySet()) {
                 TomlPosition place = one.inputPositionOf(List.of(key));
@@ -145,10 +148,10 @@
                 }
             }
             for (Key needed : shape.lists.get(path)) {
-                if (needed.standard == null && !into.isTold(needed)
+                if (needed.defaultValue == null && !into.isSet(needed)
                     && one.get(List.of(needed.path)) == null) {
                     fault(array.inputPositionOf(i),
-                        path + "." + needed.path + " is missing: " + needed.sentence);
+                        path + "." + needed.path + " is missing: " + needed.description);
                 }
             }
         }
--- a/configuration/src/main/java/yewpath/configuration/Type.java
+++ b/configuration/src/main/java/yewpath/configuration/ValueType.java
@@ -8,23 +8,23 @@
 import org.tomlj.TomlArray;
 
 /** How a value is written in the file, what it is inside the relay, and how it is shown again. */
-public enum Type {
+public enum ValueType {
     /** A whole number: Long. */
     COUNT("a whole number such as 64"),
     /** A time: Long, in microseconds; in the file a text with a unit, since a bare number can be mistaken. */
-    SPAN("a time with its unit such as \"250 ms\" (us, ms, s, min, h)"),
+    DURATION("a time with its unit such as \"250 ms\" (us, ms, s, min, h)"),
     /** A size: Long, in bytes. */
     SIZE("a size with its unit such as \"64 KiB\" (B, KiB, MiB, GiB)"),
     /** A part of something: Double. */
-    PART("a number such as 0.4"),
+    FRACTION("a number such as 0.4"),
     /** One of a few words: String. */
-    WORD("one of the words named"),
+    CHOICE("one of the words named"),
     /** Any text: String. */
-    TEXT("a text in quotes"),
+    STRING("a text in quotes"),
     /** Yes or no: Boolean. */
-    FLAG("true or false"),
+    BOOLEAN("true or false"),
     /** Texts: a list of String. */
-    TEXTS("a list of texts such as [\"a\", \"b\"]");
+    STRING_LIST("a list of texts such as [\"a\", \"b\"]");
 
     private static final Map<String, Long> SPANS = units("us", 1L, "ms", 1_000L, "s", 1_000_000L, "min",
         60_000_000L,
@@ -33,10 +33,10 @@
         1L << 30);
 
     /** Said where a value is not written so. */
-    public final String example;
+    public final String expectedForm;
 
-    Type(String example) {
-        this.example = example;
+    ValueType(String expectedForm) {
+        this.expectedForm = expectedForm;
     }
 
     private static Map<String, Long> units(Object... pairs) {
@@ -48,22 +48,22 @@
     }
 
     /** The value inside; throws IllegalArgumentException, with what would be right, for any other kind of value. */
-    public Object read(Object written) {
+    public Object parse(Object written) {
         Object value = switch (this) {
             case COUNT -> written instanceof Long ? written : null;
-            case PART -> written instanceof Long whole ? (Object) whole.doubleValue()
+            case FRACTION -> written instanceof Long whole ? (Object) whole.doubleValue()
                 : written instanceof Double ? written
                     : null;
-            case WORD, TEXT -> written instanceof String ? written : null;
-            case FLAG -> written instanceof Boolean ? written : null;
-            case TEXTS ->
+            case CHOICE, STRING -> written instanceof String ? written : null;
+            case BOOLEAN -> written instanceof Boolean ? written : null;
+            case STRING_LIST ->
                 written instanceof TomlArray list && list.toList().stream().allMatch(String.class::isInstance)
                     ? List.copyOf(list.toList()) : null;
-            case SPAN -> written instanceof String text ? measure(text, SPANS) : null;
+            case DURATION -> written instanceof String text ? measure(text, SPANS) : null;
             case SIZE -> written instanceof String text ? measure(text, SIZES) : null;
         };
         if (value == null) {
-            throw new IllegalArgumentException("should be " + example);
+            throw new IllegalArgumentException("should be " + expectedForm);
         }
         return value;
     }
@@ -78,11 +78,11 @@
     }
 
     /** As it would be written in the file. */
-    public String show(Object value) {
+    public String format(Object value) {
         return switch (this) {
-            case COUNT, PART, FLAG, TEXTS -> String.valueOf(value);
-            case WORD, TEXT -> '"' + (String) value + '"';
-            case SPAN -> '"' + inUnits((Long) value, SPANS) + '"';
+            case COUNT, FRACTION, BOOLEAN, STRING_LIST -> String.valueOf(value);
+            case CHOICE, STRING -> '"' + (String) value + '"';
+            case DURATION -> '"' + inUnits((Long) value, SPANS) + '"';
             case SIZE -> '"' + inUnits((Long) value, SIZES) + '"';
         };
     }
--- a/lab/src/main/java/yewpath/lab/Main.java
+++ b/lab/src/main/java/yewpath/lab/Main.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
 import yewpath.lab.load.Live;
 import yewpath.lab.report.Compare;
 import yewpath.lab.report.Report;
@@ -150,8 +150,8 @@
                 case "footprint" -> footprint(footprint);
                 default -> print("yewpath-lab " + version() + "\n");
             });
-        } catch (Faults faults) {
-            faults.lines().forEach(System.err::println);
+        } catch (ConfigurationException faults) {
+            faults.errorLines().forEach(System.err::println);
             System.exit(2);
         } catch (IOException e) {
             boolean reads = word.equals("compare") || word.equals("report");
@@ -178,7 +178,7 @@
         return new Footprint(System.out).run(words.count);
     }
 
-    private static int run(RunWord words) throws IOException, InterruptedException, Faults {
+    private static int run(RunWord words) throws IOException, InterruptedException, ConfigurationException {
         if (words.files.size() != 1 || words.threads < 1) {
             fail("run takes one file, and at least one thread");
         }
@@ -196,7 +196,8 @@
         return code;
     }
 
-    private static int search(SearchWord words) throws IOException, InterruptedException, Faults {
+    private static int search(SearchWord words)
+        throws IOException, InterruptedException, ConfigurationException {
         if (words.files.size() != 1 || words.days < 4 || words.days > 100_000 || words.threads < 1) {
             fail("search takes one file, and --days from 4 to 100000");
         }
@@ -212,7 +213,7 @@
         return 0;
     }
 
-    private static int load(LoadWord words) throws IOException, InterruptedException, Faults {
+    private static int load(LoadWord words) throws IOException, InterruptedException, ConfigurationException {
         if (words.files.size() != 1) {
             fail("load takes one file");
         }
@@ -248,7 +249,7 @@
         }
     }
 
-    private static int report(ReportWord words) throws IOException, Faults {
+    private static int report(ReportWord words) throws IOException, ConfigurationException {
         if (words.folders.size() != 1) {
             fail("report takes one folder");
         }
--- a/lab/src/main/java/yewpath/lab/Sizes.java
+++ b/lab/src/main/java/yewpath/lab/Sizes.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
 import yewpath.lab.scenario.Scenario;
 import yewpath.lab.scenario.ScenarioFile;
 import yewpath.lab.world.World;
@@ -19,7 +19,7 @@
         this.say = say;
     }
 
-    int run(long mostEnvelopes, int mostDestinations) throws Faults {
+    int run(long mostEnvelopes, int mostDestinations) throws ConfigurationException {
         say.println(
             "| envelopes | destinations | relays | seconds | events a second | Logic us an envelope | heap MB after |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- |");
@@ -37,7 +37,8 @@
         return 0;
     }
 
-    private void one(long envelopes, int destinations, int relays, boolean told) throws Faults {
+    private void one(long envelopes, int destinations, int relays, boolean told)
+        throws ConfigurationException {
         Scenario s = ScenarioFile.parse("sizes", BASE)
             .at(Map.of("load.rate", envelopes / 20.0, "world.destinations", (double) destinations,
                 "world.relays", (double) relays));
--- a/lab/src/main/java/yewpath/lab/report/Report.java
+++ b/lab/src/main/java/yewpath/lab/report/Report.java
@@ -25,7 +25,7 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.lines.SeriesLines;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
 import yewpath.lab.run.Results;
 import yewpath.lab.scenario.ScenarioFile;
 
@@ -43,7 +43,7 @@
     private final Set<String> policies = new LinkedHashSet<>();
     private final StringBuilder page = new StringBuilder();
 
-    public Report(Path folder) throws IOException, Faults {
+    public Report(Path folder) throws IOException, ConfigurationException {
         this.folder = folder;
         rows = Results.read(folder);
         // In the scenario's order, not in that in which runs were done: colours must not change from page to page.
--- a/lab/src/main/java/yewpath/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/yewpath/lab/scenario/ScenarioFile.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
+import yewpath.configuration.FileSchema;
 import yewpath.configuration.Key;
-import yewpath.configuration.Shape;
+import yewpath.configuration.SettingValues;
 import yewpath.configuration.TomlFile;
-import yewpath.configuration.Type;
-import yewpath.configuration.Values;
+import yewpath.configuration.ValueType;
 import yewpath.lab.policy.Policies;
 
 /** Scenario files: their keys, and how a file becomes the runs it asks for. */
@@ -33,9 +33,10 @@
     }
 
     private static final Key NAME = text("run.name", "unnamed", "Its name, as results bear it.");
-    private static final Key POLICIES = add(Key.plain("run.policies", Type.TEXTS, List.of("logic"),
-        "Who decides: " + String.join(", ", Policies.names()) + "."));
-    private static final Key STRICT = add(Key.plain("run.strict", Type.FLAG, false,
+    private static final Key POLICIES = add(
+        Key.unbounded("run.policies", ValueType.STRING_LIST, List.of("logic"),
+            "Who decides: " + String.join(", ", Policies.names()) + "."));
+    private static final Key STRICT = add(Key.unbounded("run.strict", ValueType.BOOLEAN, false,
         "Whether the first broken rule ends a run, with its trace."));
 
     static {
@@ -102,32 +103,36 @@
     }
 
     // Of [[offering]] and [[trouble]]; their paths have no table.
-    private static final Key O_NAME = Key.plain("name", Type.TEXT, null, "its name");
-    private static final Key O_KIND = Key.word("kind", "repeatable",
+    private static final Key O_NAME = Key.unbounded("name", ValueType.STRING, null, "its name");
+    private static final Key O_KIND = Key.choice("kind", "repeatable",
         List.of("repeatable", "tagged", "once-only"), false, "how it may be repeated");
-    private static final Key O_ORDERED = Key.plain("ordered", Type.FLAG, false, "one at a time by key");
-    private static final Key O_SHARE = Key.number("share", Type.PART, 1.0, 0, 1e9, false,
+    private static final Key O_ORDERED = Key.unbounded("ordered", ValueType.BOOLEAN, false,
+        "one at a time by key");
+    private static final Key O_SHARE = Key.number("share", ValueType.FRACTION, 1.0, 0, 1e9, false,
         "its part of the load");
-    private static final Key O_REVENUE = Key.number("revenue", Type.PART, 1.0, 0, 1e9, false,
+    private static final Key O_REVENUE = Key.number("revenue", ValueType.FRACTION, 1.0, 0, 1e9, false,
         "what it is worth in time");
-    private static final Key O_LATE = Key.number("late", Type.PART, 0.3, 0, 1, false,
+    private static final Key O_LATE = Key.number("late", ValueType.FRACTION, 0.3, 0, 1, false,
         "the part of that at its expiry");
-    private static final Key O_AGREED = Key.number("agreed", Type.SPAN, 1 * S, 1 * MS, 86_400 * S, false,
+    private static final Key O_AGREED = Key.number("agreed", ValueType.DURATION, 1 * S, 1 * MS, 86_400 * S,
+        false,
         "its agreed time");
-    private static final Key O_EXPIRY = Key.number("expiry", Type.SPAN, 8 * S, 1 * MS, 86_400 * S, false,
+    private static final Key O_EXPIRY = Key.number("expiry", ValueType.DURATION, 8 * S, 1 * MS, 86_400 * S,
+        false,
         "its expiry");
-    private static final Key O_MEMORY = Key.number("memory", Type.SPAN, 10 * S, 0, 86_400 * S, false,
+    private static final Key O_MEMORY = Key.number("memory", ValueType.DURATION, 10 * S, 0, 86_400 * S, false,
         "how long a repeat is known");
-    private static final Key T_WHAT = Key.word("what", null,
+    private static final Key T_WHAT = Key.choice("what", null,
         List.of("silent", "refuse", "vanish", "slow", "errors", "resets", "limit",
             "partition", "drain", "burst", "relay-kill", "relay-lost"),
         false, "what happens");
-    private static final Key T_AT = Key.number("at", Type.SPAN, null, 0, 86_400 * S, false, "when it begins");
-    private static final Key T_FOR = Key.number("for", Type.SPAN, null, 1, 86_400 * S, false,
+    private static final Key T_AT = Key.number("at", ValueType.DURATION, null, 0, 86_400 * S, false,
+        "when it begins");
+    private static final Key T_FOR = Key.number("for", ValueType.DURATION, null, 1, 86_400 * S, false,
         "how long it lasts");
-    private static final Key T_PART = Key.number("part", Type.PART, 0.0, 0, 1, false,
+    private static final Key T_PART = Key.number("part", ValueType.FRACTION, 0.0, 0, 1, false,
         "of destinations or relays; one at least");
-    private static final Key T_AMOUNT = Key.number("amount", Type.PART, 1.0, 0, 1e6, false,
+    private static final Key T_AMOUNT = Key.number("amount", ValueType.FRACTION, 1.0, 0, 1e6, false,
         "a factor or part, by kind");
 
     private static final Map<String, List<Key>> LISTS = new LinkedHashMap<>();
@@ -138,19 +143,19 @@
         LISTS.put("trouble", List.of(T_WHAT, T_AT, T_FOR, T_PART, T_AMOUNT));
     }
 
-    private static final Shape SHAPE = new Shape(KEYS, TABLES, LISTS, "sweep");
+    private static final FileSchema SHAPE = new FileSchema(KEYS, TABLES, LISTS, "sweep");
 
-    private final Values values;
+    private final SettingValues values;
 
-    private ScenarioFile(Values values) {
+    private ScenarioFile(SettingValues values) {
         this.values = values;
     }
 
-    public static ScenarioFile read(String path) throws Faults {
+    public static ScenarioFile read(String path) throws ConfigurationException {
         return new ScenarioFile(TomlFile.read(path, SHAPE, ScenarioFile::together));
     }
 
-    public static ScenarioFile parse(String name, String text) throws Faults {
+    public static ScenarioFile parse(String name, String text) throws ConfigurationException {
         return new ScenarioFile(TomlFile.parse(name, text, SHAPE, ScenarioFile::together));
     }
 
@@ -158,16 +163,16 @@
     public static String reference() {
         StringBuilder out = new StringBuilder();
         for (Key key : KEYS) {
-            out.append(key.path).append("  (").append(key.standardShown()).append("; ").append(key.range())
+            out.append(key.path).append("  (").append(key.formattedDefault()).append("; ").append(key.range())
                 .append(")\n    ")
-                .append(key.sentence).append('\n');
+                .append(key.description).append('\n');
         }
         LISTS.forEach((name, keys) -> {
             out.append("[[").append(name).append("]]\n");
             keys.forEach(key -> out.append("    ").append(key.path).append("  (")
-                .append(key.standard == null ? "needed"
-                    : key.standardShown())
-                .append("; ").append(key.range()).append(")  ").append(key.sentence).append('\n'));
+                .append(key.defaultValue == null ? "needed"
+                    : key.formattedDefault())
+                .append("; ").append(key.range()).append(")  ").append(key.description).append('\n'));
         });
         return out.append(
             "[sweep]\n    \"load.rate\" = [50, 100]: any number above, times in microseconds; all are combined\n")
@@ -177,8 +182,8 @@
     /** The scenario with no sweep applied. */
     public Scenario base() {
         Scenario s = new Scenario();
-        s.name = values.word(NAME);
-        s.policies = values.texts(POLICIES);
+        s.name = values.string(NAME);
+        s.policies = values.strings(POLICIES);
         s.strict = values.flag(STRICT);
         for (Key key : KEYS) {
             Setter setter = SETTERS.get(key.path);
@@ -187,10 +192,10 @@
             }
         }
         List<Scenario.Offering> offerings = new ArrayList<>();
-        for (Values o : values.list("offering")) {
-            offerings.add(new Scenario.Offering(o.word(O_NAME), o.word(O_KIND), o.flag(O_ORDERED),
-                o.part(O_SHARE), o.part(O_REVENUE),
-                o.part(O_LATE), o.figure(O_AGREED), o.figure(O_EXPIRY), o.figure(O_MEMORY)));
+        for (SettingValues o : values.tables("offering")) {
+            offerings.add(new Scenario.Offering(o.string(O_NAME), o.string(O_KIND), o.flag(O_ORDERED),
+                o.fraction(O_SHARE), o.fraction(O_REVENUE),
+                o.fraction(O_LATE), o.number(O_AGREED), o.number(O_EXPIRY), o.number(O_MEMORY)));
         }
         if (offerings.isEmpty()) {
             offerings
@@ -198,12 +203,13 @@
         }
         s.offerings = List.copyOf(offerings);
         List<Scenario.Trouble> troubles = new ArrayList<>();
-        for (Values t : values.list("trouble")) {
-            troubles.add(new Scenario.Trouble(t.figure(T_AT), t.figure(T_FOR), t.word(T_WHAT), t.part(T_PART),
-                t.part(T_AMOUNT)));
+        for (SettingValues t : values.tables("trouble")) {
+            troubles.add(
+                new Scenario.Trouble(t.number(T_AT), t.number(T_FOR), t.string(T_WHAT), t.fraction(T_PART),
+                    t.fraction(T_AMOUNT)));
         }
         s.troubles = List.copyOf(troubles);
-        s.sweeps = values.free();
+        s.sweeps = values.freeNumbers();
         return s;
     }
 
@@ -217,7 +223,7 @@
     /** All points, the first sweep varying slowest; one without entries where nothing is swept. */
     public List<Map<String, Double>> points() {
         List<Map<String, Double>> points = new ArrayList<>(List.of(Map.of()));
-        values.free().forEach((path, figures) -> {
+        values.freeNumbers().forEach((path, figures) -> {
             List<Map<String, Double>> more = new ArrayList<>();
             for (Map<String, Double> point : points) {
                 for (double figure : figures) {
@@ -235,7 +241,7 @@
     /** The least and most of each swept number, within which a search may draw. */
     public Map<String, double[]> ranges() {
         Map<String, double[]> ranges = new LinkedHashMap<>();
-        values.free().forEach((path, figures) -> ranges.put(path, new double[]{
+        values.freeNumbers().forEach((path, figures) -> ranges.put(path, new double[]{
             figures.stream().mapToDouble(x -> x).min().orElseThrow(),
             figures.stream().mapToDouble(x -> x).max().orElseThrow()}));
         return ranges;
@@ -243,7 +249,7 @@
 
     /** Whether a number of this name is a whole one. */
     public static boolean isWhole(String path) {
-        return KEYS.stream().anyMatch(key -> key.path.equals(path) && key.type != Type.PART);
+        return KEYS.stream().anyMatch(key -> key.path.equals(path) && key.type != ValueType.FRACTION);
     }
 
     /** The file that says this scenario at a point and with these troubles, without its sweeps. */
@@ -257,11 +263,11 @@
             }
             Double figure = point.get(key.path);
             Object value = figure == null ? values.value(key)
-                : key.type == Type.PART ? (Object) figure : (Object) Math.round(figure);
+                : key.type == ValueType.FRACTION ? (Object) figure : (Object) Math.round(figure);
             out.append(key.path.substring(key.path.indexOf('.') + 1)).append(" = ")
                 .append(written(key, value)).append('\n');
         }
-        for (Values offering : values.list("offering")) {
+        for (SettingValues offering : values.tables("offering")) {
             entry(out, "offering", LISTS.get("offering"), offering::value);
         }
         for (Scenario.Trouble t : troubles) {
@@ -280,39 +286,39 @@
     }
 
     private static String written(Key key, Object value) {
-        if (key.type == Type.TEXTS) {
+        if (key.type == ValueType.STRING_LIST) {
             return ((List<?>) value).stream().map(one -> '"' + one.toString() + '"').toList().toString();
         }
         // In its smallest unit, so that nothing is rounded: the day must be the same day.
-        return key.type == Type.SPAN ? "\"" + value + " us\"" : key.type.show(value);
+        return key.type == ValueType.DURATION ? "\"" + value + " us\"" : key.type.format(value);
     }
 
-    private static void together(Values all, TomlFile.Fault fault) {
-        all.free().forEach((path, figures) -> {
+    private static void together(SettingValues all, TomlFile.ErrorReporter fault) {
+        all.freeNumbers().forEach((path, figures) -> {
             Key key = KEYS.stream().filter(k -> k.path.equals(path)).findFirst().orElse(null);
             if (key == null || !SETTERS.containsKey(path)) {
-                fault.at(0, "sweep." + path + ": no number of that name");
+                fault.report(0, "sweep." + path + ": no number of that name");
                 return;
             }
             for (double figure : figures) {
-                if (figure < key.least || figure > key.most) {
-                    fault.at(0, "sweep." + path + " should be " + key.range() + "; it is " + figure);
+                if (figure < key.minimum || figure > key.maximum) {
+                    fault.report(0, "sweep." + path + " should be " + key.range() + "; it is " + figure);
                 }
             }
         });
-        for (String policy : all.texts(POLICIES)) {
+        for (String policy : all.strings(POLICIES)) {
             if (!Policies.names().contains(policy)) {
-                fault.at(all.line(POLICIES), "run.policies: no policy " + policy + "; there are "
+                fault.report(all.line(POLICIES), "run.policies: no policy " + policy + "; there are "
                     + String.join(", ", Policies.names()));
             }
         }
-        if (all.texts(POLICIES).isEmpty()) {
-            fault.at(all.line(POLICIES), "run.policies: at least one should be named");
+        if (all.strings(POLICIES).isEmpty()) {
+            fault.report(all.line(POLICIES), "run.policies: at least one should be named");
         }
-        for (Values o : all.list("offering")) {
-            if (o.figure(O_AGREED) > o.figure(O_EXPIRY)) {
-                fault.at(Math.max(o.line(O_AGREED), o.line(O_EXPIRY)),
-                    "offering " + o.word(O_NAME) + ": agreed exceeds expiry");
+        for (SettingValues o : all.tables("offering")) {
+            if (o.number(O_AGREED) > o.number(O_EXPIRY)) {
+                fault.report(Math.max(o.line(O_AGREED), o.line(O_EXPIRY)),
+                    "offering " + o.string(O_NAME) + ": agreed exceeds expiry");
             }
         }
     }
@@ -323,24 +329,24 @@
     }
 
     private static Key text(String path, String standard, String sentence) {
-        return add(Key.plain(path, Type.TEXT, standard, sentence));
+        return add(Key.unbounded(path, ValueType.STRING, standard, sentence));
     }
 
     private static void count(String path, long standard, long least, long most, String sentence,
         Setter setter) {
-        add(Key.number(path, Type.COUNT, standard, least, most, false, sentence));
+        add(Key.number(path, ValueType.COUNT, standard, least, most, false, sentence));
         SETTERS.put(path, setter);
     }
 
     private static void span(String path, long standard, long least, long most, String sentence,
         Setter setter) {
-        add(Key.number(path, Type.SPAN, standard, least, most, false, sentence));
+        add(Key.number(path, ValueType.DURATION, standard, least, most, false, sentence));
         SETTERS.put(path, setter);
     }
 
     private static void part(String path, double standard, double least, double most, String sentence,
         Setter setter) {
-        add(Key.number(path, Type.PART, standard, least, most, false, sentence));
+        add(Key.number(path, ValueType.FRACTION, standard, least, most, false, sentence));
         SETTERS.put(path, setter);
     }
 }
--- a/lab/src/test/java/yewpath/lab/EmulatorTest.java
+++ b/lab/src/test/java/yewpath/lab/EmulatorTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
 import yewpath.lab.core.Calendar;
 import yewpath.lab.core.Chance;
 import yewpath.lab.policy.Policies;
@@ -37,7 +37,7 @@
         + "keys = 4\n[endpoint]\nlimit = 30\nlimit_wait = \"300 ms\"\n[[offering]]\nname = \"a\"\n[[offering]]\nname = \"b\"\nkind = \"once-only\"\n"
         + "[[offering]]\nname = \"c\"\nkind = \"tagged\"\nordered = true\n";
 
-    private static World.Outcome play(String text, String policy, long seed) throws Faults {
+    private static World.Outcome play(String text, String policy, long seed) throws ConfigurationException {
         return new World(ScenarioFile.parse("s.toml", text).at(Map.of()), policy, seed).play();
     }
 
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void theSameSeedIsTheSameRunAndAnotherIsNot() throws Faults {
+    public void theSameSeedIsTheSameRunAndAnotherIsNot() throws ConfigurationException {
         World.Outcome first = play(SMALL, "logic", 1);
         World.Outcome again = play(SMALL, "logic", 1);
         assertEquals(again.events(), first.events());
@@ -112,7 +112,7 @@
 
     /** None of them is meant to break a rule, in trouble or out of it. */
     @Test(dataProvider = "policies")
-    public void noPolicyBreaksARule(String policy) throws Faults {
+    public void noPolicyBreaksARule(String policy) throws ConfigurationException {
         String troubled = SMALL.replace("5 s", "20 s") + trouble("refuse", 2, 2, 0.4, 1)
             + trouble("silent", 3, 2, 0.4, 1)
             + trouble("relay-kill", 5, 1, 0, 1) + trouble("drain", 6, 2, 0.4, 1)
@@ -147,14 +147,14 @@
     }
 
     @Test(dataProvider = "edges")
-    public void edgesArePlayed(String what, String text) throws Faults {
+    public void edgesArePlayed(String what, String text) throws ConfigurationException {
         World.Outcome outcome = play(text, "logic", 1);
         assertEquals(outcome.broken(), 0, what);
         assertTrue(outcome.wishes() > 0 == !what.equals("no traffic"), what);
     }
 
     @Test
-    public void ifAllGoesWellAllIsDeliveredAtTheEndpointsPace() throws Faults {
+    public void ifAllGoesWellAllIsDeliveredAtTheEndpointsPace() throws ConfigurationException {
         World.Outcome outcome = play(
             "[run]\nlength = \"20 s\"\n[endpoint]\nspread = 0.0\n[network]\nspread = 0.0", "one-try", 1);
         assertEquals(outcome.fulfilled(), 1.0);
@@ -181,7 +181,8 @@
 
     @Test(dataProvider = "faulty")
     public void aScenarioWithAFaultIsTold(String text, String told) {
-        List<String> lines = expectThrows(Faults.class, () -> ScenarioFile.parse("s.toml", text)).lines();
+        List<String> lines = expectThrows(ConfigurationException.class,
+            () -> ScenarioFile.parse("s.toml", text)).errorLines();
         assertTrue(lines.stream().anyMatch(line -> line.startsWith("s.toml") && line.contains(told)),
             lines.toString());
     }
@@ -260,7 +261,7 @@
     }
 
     @Test
-    public void theOracleIsNotBeatenWhereALimitDecides() throws Faults {
+    public void theOracleIsNotBeatenWhereALimitDecides() throws ConfigurationException {
         String text = SMALL.replace("5 s", "20 s").replace("[run]", "[run]\nwarm = \"5 s\"")
             .replace("limit = 30", "limit = 30\nrefused_count = 1")
             .replace("rate = 60", "rate = 80");
--- a/relay/src/main/java/yewpath/command/Main.java
+++ b/relay/src/main/java/yewpath/command/Main.java
@@ -7,15 +7,15 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
 import yewpath.events.Event;
-import yewpath.operator.Operator;
 import yewpath.operator.OperatorFile;
+import yewpath.operator.OperatorSettings;
 import yewpath.operator.Reference;
-import yewpath.relay.ProcessSignals;
-import yewpath.relay.TrialStart;
 import yewpath.relay.Config;
+import yewpath.relay.ProcessSignals;
 import yewpath.relay.RelayServer;
+import yewpath.relay.TrialStart;
 import yewpath.wirehost.WireHost;
 
 /**
@@ -173,11 +173,11 @@
         }
     }
 
-    private static Operator operator(String file) {
+    private static OperatorSettings operator(String file) {
         try {
             return OperatorFile.read(file);
-        } catch (Faults faults) {
-            faults.lines().forEach(System.err::println);
+        } catch (ConfigurationException faults) {
+            faults.errorLines().forEach(System.err::println);
             System.exit(2);
             throw new IllegalStateException();
         }
@@ -197,7 +197,7 @@
             return;
         }
         for (Event event : Event.values()) {
-            System.out.println(event.label + "  (" + event.levelName() + ")  " + event.sentence);
+            System.out.println(event.label + "  (" + event.levelName() + ")  " + event.description);
         }
     }
 
--- a/relay/src/main/java/yewpath/delivery/Answers.java
+++ b/relay/src/main/java/yewpath/delivery/Answers.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import yewpath.Egress;
 import yewpath.http.Parser;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 
 /** What an endpoint's answer says, in Logic's outcomes. */
 final class Answers {
@@ -79,18 +79,18 @@
     static Map<String, String> states(byte[] body) {
         Map<String, String> ends = new LinkedHashMap<>();
         try {
-            Tokens.read(body, at -> {
-                Tokens.list(at, item -> {
+            Json.parse(body, at -> {
+                Json.readArray(at, item -> {
                     String[] fields = new String[2];
-                    Tokens.object(item, (name, value) -> {
+                    Json.readObject(item, (name, value) -> {
                         if (name.equals("id") || name.equals("state")) {
-                            fields[name.equals("id") ? 0 : 1] = Tokens.text(value);
+                            fields[name.equals("id") ? 0 : 1] = Json.readString(value);
                         } else {
                             value.skipChildren();
                         }
                     });
                     if (fields[0] == null || fields[1] == null) {
-                        throw Tokens.fault(item, "an end without id or state");
+                        throw Json.error(item, "an end without id or state");
                     }
                     return ends.put(fields[0], fields[1]);
                 });
--- a/relay/src/main/java/yewpath/delivery/CallRequest.java
+++ b/relay/src/main/java/yewpath/delivery/CallRequest.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.List;
 import yewpath.http.Writer;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 
 /** The bytes of a call's request, for one message or for several. */
 final class CallRequest {
@@ -38,7 +38,7 @@
     private static byte[] bulk(InetSocketAddress address, List<Call.Attempt> attempts, long within) {
         List<Call.Attempt> ordered = new ArrayList<>(attempts);
         ordered.sort(Comparator.comparingLong(Call.Attempt::expiry).reversed());
-        byte[] items = Tokens.write(out -> {
+        byte[] items = Json.write(out -> {
             out.writeStartArray();
             for (Call.Attempt one : ordered) {
                 out.writeStartObject();
--- a/relay/src/main/java/yewpath/delivery/Delivery.java
+++ b/relay/src/main/java/yewpath/delivery/Delivery.java
@@ -103,7 +103,7 @@
         try {
             call.begin(CallRequest.bytes(addresses[call.endpoint], attempts, within));
         } catch (RuntimeException e) {
-            Log.tell(Event.RELAY_FAULT, e);
+            Log.log(Event.RELAY_ERROR, e);
             call.fault();
         }
     }
--- a/relay/src/main/java/yewpath/directory/Listing.java
+++ b/relay/src/main/java/yewpath/directory/Listing.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 
 /** Discovery's list, or changes to it, read whole: of one that cannot be read nothing is handed on. */
 public final class Listing {
@@ -40,7 +40,7 @@
 
     /** Throws IllegalArgumentException where it cannot be read. */
     public static Listing read(byte[] bytes) {
-        return Tokens.read(bytes, Listing::read);
+        return Json.parse(bytes, Listing::read);
     }
 
     /** The list at whose first token the parser stands. */
@@ -49,20 +49,20 @@
         boolean[] whole = {false};
         List<Entry> entries = new ArrayList<>();
         boolean[] listed = {false};
-        Tokens.object(at, (name, value) -> {
+        Json.readObject(at, (name, value) -> {
             switch (name) {
-                case "version" -> version[0] = Tokens.number(value);
+                case "version" -> version[0] = Json.readNumber(value);
                 case "full" -> whole[0] = value.currentToken() == JsonToken.VALUE_TRUE;
                 case "servers" -> {
                     entries.clear();
                     listed[0] = true;
-                    Tokens.list(value, element -> entries.add(entry(element)));
+                    Json.readArray(value, element -> entries.add(entry(element)));
                 }
                 default -> value.skipChildren();
             }
         });
         if (Double.isNaN(version[0]) || !listed[0]) {
-            throw Tokens.fault(at, "a list without " + (listed[0] ? "version" : "servers"));
+            throw Json.error(at, "a list without " + (listed[0] ? "version" : "servers"));
         }
         return new Listing((long) version[0], whole[0], entries);
     }
@@ -70,33 +70,33 @@
     private static Entry entry(JsonParser at) throws IOException {
         String[] texts = new String[5];
         double[] figures = {Double.NaN, Double.NaN, Double.NaN};
-        Tokens.object(at, (name, value) -> {
+        Json.readObject(at, (name, value) -> {
             switch (name) {
-                case "id" -> texts[0] = Tokens.text(value);
-                case "addr" -> texts[1] = Tokens.text(value);
-                case "zone" -> texts[2] = Tokens.text(value);
-                case "kind" -> texts[3] = Tokens.text(value);
-                case "state" -> texts[4] = Tokens.text(value);
-                case "cell" -> figures[0] = Tokens.number(value);
-                case "weight" -> figures[1] = Tokens.number(value);
-                case "started_ms" -> figures[2] = Tokens.number(value);
+                case "id" -> texts[0] = Json.readString(value);
+                case "addr" -> texts[1] = Json.readString(value);
+                case "zone" -> texts[2] = Json.readString(value);
+                case "kind" -> texts[3] = Json.readString(value);
+                case "state" -> texts[4] = Json.readString(value);
+                case "cell" -> figures[0] = Json.readNumber(value);
+                case "weight" -> figures[1] = Json.readNumber(value);
+                case "started_ms" -> figures[2] = Json.readNumber(value);
                 default -> value.skipChildren();
             }
         });
         for (String text : texts) {
             if (text == null) {
-                throw Tokens.fault(at,
+                throw Json.error(at,
                     "an entry without one of id, addr, zone, kind and state, before the end");
             }
         }
         for (double figure : figures) {
             if (Double.isNaN(figure)) {
-                throw Tokens.fault(at, "an entry without one of cell, weight and started_ms, before the end");
+                throw Json.error(at, "an entry without one of cell, weight and started_ms, before the end");
             }
         }
         int phase = PHASES.indexOf(texts[4]);
         if (phase < 0) {
-            throw Tokens.fault(at, "unknown state " + texts[4]);
+            throw Json.error(at, "unknown state " + texts[4]);
         }
         return new Entry(texts[0], address(texts[1]), texts[2], texts[3], String.valueOf((long) figures[0]),
             phase,
--- a/relay/src/main/java/yewpath/directory/Watch.java
+++ b/relay/src/main/java/yewpath/directory/Watch.java
@@ -7,7 +7,7 @@
 import yewpath.http.CloseReason;
 import yewpath.http.Parser;
 import yewpath.http.Writer;
-import yewpath.json.Values;
+import yewpath.json.JsonObjectSplitter;
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
 
@@ -75,7 +75,7 @@
     private final class Telling implements ServerConnection.Answer {
         private final ServerConnection from;
         private final boolean following;
-        private final Values values = new Values(this::object, this::emptyLine);
+        private final JsonObjectSplitter values = new JsonObjectSplitter(this::object, this::emptyLine);
         private Loop.Timer quiet;
         private final long askedAt = loop.now();
         private boolean headHeard;
@@ -113,7 +113,7 @@
 
         /** Where nothing has changed no object follows the head; where something has, it may be apart, and in pieces. */
         private void nothingFollows() {
-            if (!from.isClosed() && !values.isInside()) {
+            if (!from.isClosed() && !values.isIncomplete()) {
                 answers();
             }
         }
@@ -138,8 +138,8 @@
             quiet.callOff();
             if (answer.status() == 200) {
                 feed(answer);
-                if (values.isInside()) {
-                    Log.tell(Event.DIRECTORY_GARBLED, "cut off in the middle of an object");
+                if (values.isIncomplete()) {
+                    Log.log(Event.DIRECTORY_INVALID, "cut off in the middle of an object");
                 }
             }
             from.close(CloseReason.NOT_KEPT);
@@ -159,7 +159,7 @@
             try {
                 values.feed(answer.takeBody(), limits.lineMost());
             } catch (IllegalArgumentException garbled) {
-                Log.tell(Event.DIRECTORY_GARBLED, garbled.getMessage());
+                Log.log(Event.DIRECTORY_INVALID, garbled.getMessage());
                 from.close(CloseReason.UNREADABLE_LIST);
             }
         }
@@ -196,7 +196,7 @@
             failed.run();
         } else if (following) {
             backoff = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoff));
-            Log.tell(Event.DIRECTORY_LOST, backoff / 1000);
+            Log.log(Event.DIRECTORY_WATCH_ENDED, backoff / 1000);
             again = loop.after(backoff, this::follow);
         }
     }
--- a/relay/src/main/java/yewpath/events/Event.java
+++ b/relay/src/main/java/yewpath/events/Event.java
@@ -19,7 +19,7 @@
     RELAY_CLOSED("relay.closed", Level.INFO,
         "Its last word; what is open stays in the ledger.", "open",
         "calls_out"),
-    RELAY_FAULT("relay.fault", Level.ERROR,
+    RELAY_ERROR("relay.fault", Level.ERROR,
         "An event or act of one envelope or connection failed; the others go on.",
         "exception"),
     CLIENT_ACCEPT_FAILED("client.accept_failed", Level.WARN,
@@ -37,48 +37,48 @@
         "A client's connection is closed; request_open where its request had no answer yet.",
         "why",
         "request_open"),
-    ENVELOPE_TAKEN("envelope.taken",
+    MESSAGE_ACCEPTED("envelope.taken",
         Level.DEBUG, "Taken on: its end is owed from now on.", "id",
         "offering", "tenant",
         "destination", "within_ms",
         "bytes"),
-    ENVELOPE_RESTORED("envelope.restored", Level.DEBUG,
+    MESSAGE_RESTORED("envelope.restored", Level.DEBUG,
         "Read from the ledger at the start.", "id", "shots",
         "in_doubt"),
-    ENVELOPE_REFUSED("envelope.refused", Level.DEBUG,
+    MESSAGE_REFUSED("envelope.refused", Level.DEBUG,
         "Not taken on; why is closing, disk (the folder fails), hold, ledger (its part of the disk is full) or unlisted (no list names its destination).",
         "id", "why"),
-    ENVELOPE_SHOT("envelope.shot", Level.DEBUG,
+    ATTEMPT_STARTED("envelope.shot", Level.DEBUG,
         "Its first byte leaves for an endpoint.", "id",
         "shot", "endpoint"),
-    ENVELOPE_BACK("envelope.back",
+    ATTEMPT_FAILED("envelope.back",
         Level.DEBUG,
         "A shot has ended without delivering it.", "id",
         "shot", "endpoint", "outcome",
         "elapsed_ms", "wait_ms"),
-    ENVELOPE_FULFILLED(
+    MESSAGE_DELIVERED(
         "envelope.fulfilled", Level.DEBUG,
         "Delivered, or said by the endpoint to be over.",
         "id", "shot",
         "endpoint",
         "elapsed_ms"),
-    ENVELOPE_HANDED_BACK(
+    MESSAGE_REJECTED(
         "envelope.handed_back", Level.DEBUG,
         "Deferred: it may be handed in again.",
         "id", "retry_in_ms"),
-    ENVELOPE_GIVEN_UP(
+    MESSAGE_FAILED(
         "envelope.given_up", Level.DEBUG,
         "Aborted: it may have run, so it must not be repeated.",
         "id"),
-    ENVELOPE_WITHDRAWN(
+    MESSAGE_WITHDRAWN(
         "envelope.withdrawn", Level.DEBUG,
         "Its client had left before the answer.",
         "id"),
-    ENDPOINT_SICK(
+    ENDPOINT_UNHEALTHY(
         "endpoint.sick", Level.INFO,
         "Only trial shots go there from now on.",
         "endpoint"),
-    ENDPOINT_WELL(
+    ENDPOINT_HEALTHY(
         "endpoint.well",
         Level.INFO,
         "It has answered again; shots are ramped.",
@@ -90,13 +90,13 @@
         "endpoint", "address",
         "destination",
         "state"),
-    ANSWER_FOREIGN(
+    RESPONSE_STALE(
         "answer.foreign",
         Level.WARN,
         "An answer of an earlier request came while the next one was out; that one still waits for its own.",
         "address",
         "status"),
-    ANSWER_UNCERTAIN(
+    RESPONSE_REPEATED(
         "answer.uncertain",
         Level.WARN,
         "An answer equals one that came before on its connection: the request may have run.",
@@ -109,12 +109,12 @@
         "address",
         "why",
         "request_out"),
-    DIRECTORY_GARBLED(
+    DIRECTORY_INVALID(
         "directory.garbled",
         Level.WARN,
         "A list that cannot be read is left out; the last one stays.",
         "why"),
-    DIRECTORY_LOST(
+    DIRECTORY_WATCH_ENDED(
         "directory.lost",
         Level.INFO,
         "A watch has ended; it is taken up anew.",
@@ -124,13 +124,13 @@
         Level.ERROR,
         "The platform does not understand a notice: it is dropped.",
         "id"),
-    NOTICE_UNHEARD(
+    NOTICE_UNACKNOWLEDGED(
         "notice.unheard",
         Level.WARN,
         "The platform has not answered notices: they go again.",
         "count",
         "again_in_ms"),
-    LEDGER_TORN(
+    LEDGER_TRUNCATED(
         "ledger.torn",
         Level.WARN,
         "The last life ended in the middle of a write; nothing rested on that record.",
@@ -163,7 +163,7 @@
         Level.ERROR,
         "The start waits for the lasting folder to be readable.",
         "exception"),
-    LEDGER_SET_ASIDE(
+    LEDGER_MOVED_ASIDE(
         "ledger.set_aside",
         Level.WARN,
         "What lay where the log belongs was no file, and is renamed.",
@@ -181,7 +181,7 @@
         "A whole record means nothing to this program: it is left out.",
         "type",
         "exception"),
-    LOG_SUMMED(
+    LOG_SUPPRESSED(
         "log.summed",
         Level.INFO,
         "More of one event came than is written: so many lines were left out.",
@@ -201,13 +201,13 @@
 
     public final String label;
     final Level level;
-    public final String sentence;
+    public final String description;
     final String[] fields;
 
-    Event(String label, Level level, String sentence, String... fields) {
+    Event(String label, Level level, String description, String... fields) {
         this.label = label;
         this.level = level;
-        this.sentence = sentence;
+        this.description = description;
         this.fields = fields;
     }
 
@@ -235,7 +235,7 @@
                 """);
         for (Event event : values()) {
             out.append("| `").append(event.label).append("` | ").append(event.levelName())
-                .append(" | ").append(String.join(", ", event.fields)).append(" | ").append(event.sentence)
+                .append(" | ").append(String.join(", ", event.fields)).append(" | ").append(event.description)
                 .append(" |\n");
         }
         return out.toString();
--- a/relay/src/main/java/yewpath/events/Flood.java
+++ b/relay/src/main/java/yewpath/events/EventRateLimiter.java
@@ -3,7 +3,7 @@
 import java.util.function.BiConsumer;
 
 /** Counts lines of each event by the second and tells which are too many. The clock is handed in, in nanoseconds. */
-final class Flood {
+final class EventRateLimiter {
     private static final long WINDOW = 1_000_000_000L;
     private final long[] since = new long[Event.values().length];
     private final int[] written = new int[since.length];
--- a/relay/src/main/java/yewpath/events/Line.java
+++ b/relay/src/main/java/yewpath/events/LineFormat.java
@@ -13,7 +13,7 @@
 import org.tinylog.Level;
 
 /** One line: fields as a JSON object, and the line around them in either form. */
-final class Line {
+final class LineFormat {
     /** Guards against ids and paths from outside that fill a disk by their length. */
     private static final int LONGEST = 256, LONGEST_TRACE = 4_000;
     /** Characters beyond ASCII are escaped: control characters of any kind and lone surrogates among them. */
@@ -22,7 +22,7 @@
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS")
         .withZone(ZoneOffset.UTC);
 
-    private Line() {}
+    private LineFormat() {}
 
     /** A JSON object; one value for each of the event's fields, of which those that are null are left out. */
     static String fields(String[] names, Object... values) {
--- a/relay/src/main/java/yewpath/events/LinesWriter.java
+++ b/relay/src/main/java/yewpath/events/LinesWriter.java
@@ -58,10 +58,10 @@
         String fields = entry.getMessage();
         if (event == null) {
             event = Event.LIBRARY.label;
-            fields = Line.fields(Event.LIBRARY.fields, entry.getMessage(), entry.getException());
+            fields = LineFormat.fields(Event.LIBRARY.fields, entry.getMessage(), entry.getException());
         }
         Instant at = entry.getTimestamp() == null ? Instant.now() : entry.getTimestamp().toInstant();
-        put(Line.of(Log.isJson(), at, entry.getLevel(), event, fields));
+        put(LineFormat.of(Log.isJson(), at, entry.getLevel(), event, fields));
     }
 
     void put(String line) {
--- a/relay/src/main/java/yewpath/events/Log.java
+++ b/relay/src/main/java/yewpath/events/Log.java
@@ -25,7 +25,7 @@
         }
     }
 
-    private static final Flood FLOOD = new Flood();
+    private static final EventRateLimiter FLOOD = new EventRateLimiter();
     private static volatile Level level = Level.INFO;
     private static volatile boolean json;
     private static volatile int floodAfter = 20;
@@ -34,7 +34,7 @@
     private Log() {}
 
     /** {@code queueMost} counts only before the first line. */
-    public static void set(String leastLevel, boolean asJson, int floodAfterLines, int queueMost) {
+    public static void configure(String leastLevel, boolean asJson, int floodAfterLines, int queueMost) {
         level = Level.valueOf(leastLevel.toUpperCase(java.util.Locale.ROOT));
         json = asJson;
         floodAfter = floodAfterLines;
@@ -50,18 +50,18 @@
     }
 
     /** Guards the work of putting values together where nobody would read them. */
-    public static boolean tells(Event event) {
+    public static boolean isEnabled(Event event) {
         return event.level.compareTo(level) >= 0;
     }
 
     /** Writes an event with a value for each of its fields. */
-    public static void tell(Event event, Object... values) {
+    public static void log(Event event, Object... values) {
         if (values.length != event.fields.length) {
             throw new IllegalArgumentException(
                 event + " has " + event.fields.length + " fields, not " + values.length);
         }
         // Debug is asked for envelope by envelope: only the queue bounds it.
-        if (tells(event)
+        if (isEnabled(event)
             && (event.level == Level.DEBUG || FLOOD.admits(event, floodAfter, System.nanoTime()))) {
             write(event, values);
         }
@@ -69,7 +69,7 @@
 
     private static void write(Event event, Object... values) {
         TaggedLogger logger = Loggers.OF.get(event);
-        String fields = Line.fields(event.fields, values);
+        String fields = LineFormat.fields(event.fields, values);
         switch (event.level) {
             case ERROR -> logger.error(fields);
             case WARN -> logger.warn(fields);
@@ -80,14 +80,15 @@
 
     /** What the thread that writes has to say itself. */
     static void sumUp(boolean atOnce, long dropped) {
-        FLOOD.sums(System.nanoTime(), atOnce, (event, count) -> write(Event.LOG_SUMMED, event.label, count));
+        FLOOD.sums(System.nanoTime(), atOnce,
+            (event, count) -> write(Event.LOG_SUPPRESSED, event.label, count));
         if (dropped > 0) {
             write(Event.LOG_DROPPED, dropped);
         }
     }
 
     /** Lines dropped since the start. */
-    public static long dropped() {
+    public static long droppedLines() {
         return LinesWriter.droppedEver();
     }
 
--- a/relay/src/main/java/yewpath/http/ServerConnection.java
+++ b/relay/src/main/java/yewpath/http/ServerConnection.java
@@ -171,13 +171,13 @@
     private void finish() {
         switch (answer.recognise(parser)) {
             case FOREIGN -> {
-                Log.tell(Event.ANSWER_FOREIGN, address, parser.status());
+                Log.log(Event.RESPONSE_STALE, address, parser.status());
                 foreignSeen = true;
                 parser.next();
                 answer.part(parser);
             }
             case UNCERTAIN -> {
-                Log.tell(Event.ANSWER_UNCERTAIN, address, parser.status());
+                Log.log(Event.RESPONSE_REPEATED, address, parser.status());
                 close(CloseReason.UNMATCHED_ANSWER);
             }
             case OWN -> finish(!foreignSeen);
@@ -225,8 +225,8 @@
         }
         boolean sent = isSent();
         closed = true;
-        if (Log.tells(Event.CONNECTION_CLOSED)) {
-            Log.tell(Event.CONNECTION_CLOSED, address, reason, sent && answer != null);
+        if (Log.isEnabled(Event.CONNECTION_CLOSED)) {
+            Log.log(Event.CONNECTION_CLOSED, address, reason, sent && answer != null);
         }
         if (openWithin != null) {
             openWithin.callOff();
--- a/relay/src/main/java/yewpath/intake/ClientConnection.java
+++ b/relay/src/main/java/yewpath/intake/ClientConnection.java
@@ -165,8 +165,8 @@
     }
 
     void close(CloseReason reason) {
-        if (Log.tells(Event.CLIENT_CLOSED)) {
-            Log.tell(Event.CLIENT_CLOSED, reason, answering);
+        if (Log.isEnabled(Event.CLIENT_CLOSED)) {
+            Log.log(Event.CLIENT_CLOSED, reason, answering);
         }
         link.close();
         left.accept(this);
@@ -179,7 +179,7 @@
                 answer(Writer.answer(405).with("Allow", "GET"), new byte[0]);
             } else if (path.equals("/stats")) {
                 answer(Writer.answer(200).with("Content-Type", "application/json"),
-                    intake.figures());
+                    intake.statistics());
             } else {
                 answer(Writer.answer(path.equals("/health/live") || intake.isReady() ? 200 : 503),
                     new byte[0]);
@@ -187,7 +187,7 @@
             return;
         }
         String offering = path.startsWith("/") ? path.substring(1).split("/", 2)[0] : "";
-        if (!intake.knows(offering)) {
+        if (!intake.isKnownClass(offering)) {
             answer(404);
         } else if (!parser.method().equals("POST")) {
             answer(Writer.answer(405).with("Allow", "POST"), new byte[0]);
@@ -205,11 +205,11 @@
             answer(400);
             return;
         }
-        intake.handIn(id, offering, parser.header("Tenant"), parser.header("Affinity-Key"),
+        intake.submit(id, offering, parser.header("Tenant"), parser.header("Affinity-Key"),
             parser.header("Idempotency-Key"),
             destination, within, parser.takeBody(), new MessageIntake.Reply() {
                 @Override
-                public boolean with(int status, long pause) {
+                public boolean send(int status, long pause) {
                     Writer answer = Writer.answer(status);
                     if (pause > 0) {
                         answer.with("Retry-After", Fields.seconds(pause));
@@ -219,14 +219,14 @@
                 }
 
                 @Override
-                public boolean clientLeft() {
+                public boolean isClientGone() {
                     return link.isClosed() || link.isEnded();
                 }
             });
     }
 
     private void answer(int status) {
-        Log.tell(Event.CLIENT_REFUSED, status);
+        Log.log(Event.CLIENT_REFUSED, status);
         answer(Writer.answer(status), new byte[0]);
     }
 
@@ -251,7 +251,7 @@
     }
 
     private void refuse(int status) {
-        Log.tell(Event.CLIENT_REFUSED, status);
+        Log.log(Event.CLIENT_REFUSED, status);
         link.write(Writer.answer(status).with("Connection", "close").empty());
         leave();
     }
--- a/relay/src/main/java/yewpath/intake/ClientListener.java
+++ b/relay/src/main/java/yewpath/intake/ClientListener.java
@@ -36,7 +36,7 @@
     }
 
     /** Listens at an address and returns the one that it got. */
-    public InetSocketAddress open(XnioWorker by, InetSocketAddress at) throws IOException {
+    public InetSocketAddress listen(XnioWorker by, InetSocketAddress at) throws IOException {
         worker = by;
         listener = worker.createStreamConnectionServer(at, this::accept, OptionMap.builder()
             .set(Options.REUSE_ADDRESSES, true).set(Options.TCP_NODELAY, true)
@@ -55,7 +55,7 @@
                 enter(c);
             }
         } catch (IOException e) {
-            Log.tell(Event.CLIENT_ACCEPT_FAILED, e.getMessage());
+            Log.log(Event.CLIENT_ACCEPT_FAILED, e.getMessage());
         }
     }
 
@@ -74,7 +74,7 @@
         long now = loop.now();
         for (ClientConnection goes = leastMissed(now); goes != null; goes = leastMissed(now)) {
             if (goes.restsStill(now)) {
-                Log.tell(Event.CLIENT_EVICTED, (now - goes.quietSince()) / 1000, connections.size());
+                Log.log(Event.CLIENT_EVICTED, (now - goes.quietSince()) / 1000, connections.size());
                 goes.close(CloseReason.MAKE_ROOM);
                 return;
             }
@@ -97,7 +97,7 @@
     }
 
     /** Ends the connections that rest between two requests; the others have their answer first. */
-    public void endResting() {
+    public void closeIdle() {
         long now = loop.now();
         new ArrayList<>(connections).forEach(connection -> connection.endIfResting(now));
     }
@@ -109,7 +109,7 @@
      */
     // XNIO has no other call that lets the accepting thread look once more.
     @SuppressWarnings("deprecation")
-    public void shut() {
+    public void stopAccepting() {
         listener.wakeupAccepts();
         worker.execute(() -> {
             worker.getMXBean().getServerMXBeans().forEach(XnioServerMXBean::getConnectionCount);
@@ -120,7 +120,7 @@
     private void listenNoMore() {
         if (connections.size() >= limits.clientLinks()) {
             // Full, it let in only some: as soon as one has left, the next.
-            loop.after(limits.sweepEvery() / 10, this::shut);
+            loop.after(limits.sweepEvery() / 10, this::stopAccepting);
             return;
         }
         IoUtils.safeClose(listener);
@@ -128,12 +128,12 @@
     }
 
     /** Whether nobody is left and nobody can come. */
-    public boolean isEmpty() {
+    public boolean isDrained() {
         return shut && connections.isEmpty();
     }
 
     /** Ends all but those whose answer is due, whatever they wait for. */
-    public void endAll() {
+    public void closeRemaining() {
         new ArrayList<>(connections).forEach(ClientConnection::end);
     }
 
--- a/relay/src/main/java/yewpath/json/Tokens.java
+++ b/relay/src/main/java/yewpath/json/Json.java
@@ -16,19 +16,19 @@
  * JSON as a stream of tokens: nothing is built of a text but what its reader keeps. What can't be read is an
  * IllegalArgumentException whose message names the place.
  */
-public final class Tokens {
+public final class Json {
     /** Reads the value at whose first token the parser stands, to its last token. */
-    public interface Reader<T> {
+    public interface ValueReader<T> {
         T read(JsonParser at) throws IOException;
     }
 
     /** What is to be written. */
-    public interface Written {
-        void to(JsonGenerator out) throws IOException;
+    public interface ContentWriter {
+        void writeTo(JsonGenerator out) throws IOException;
     }
 
     /** Takes one member of an object; the parser stands at the first token of its value. */
-    public interface Member {
+    public interface MemberReader {
         void read(String name, JsonParser at) throws IOException;
     }
 
@@ -38,17 +38,17 @@
         .disable(JsonFactory.Feature.INTERN_FIELD_NAMES).disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
         .build();
 
-    private Tokens() {}
+    private Json() {}
 
     /** Reads a text that is one JSON value and nothing else. */
-    public static <T> T read(byte[] bytes, Reader<T> reader) {
+    public static <T> T parse(byte[] bytes, ValueReader<T> reader) {
         try (JsonParser at = FACTORY.createParser(bytes)) {
             if (at.nextToken() == null) {
-                throw fault(at, "nothing to read");
+                throw error(at, "nothing to read");
             }
             T value = reader.read(at);
             if (at.nextToken() != null) {
-                throw fault(at, "something after the value");
+                throw error(at, "something after the value");
             }
             return value;
         } catch (IOException e) {
@@ -72,16 +72,16 @@
     }
 
     /** What is at fault where the parser stands. */
-    public static IllegalArgumentException fault(JsonParser at, String what) {
+    public static IllegalArgumentException error(JsonParser at, String what) {
         var place = at.currentTokenLocation();
         return new IllegalArgumentException(
             what + " at line " + place.getLineNr() + ", column " + place.getColumnNr());
     }
 
     /** Calls {@code member} with the parser at the first token of each value of an object. */
-    public static void object(JsonParser at, Member member) throws IOException {
+    public static void readObject(JsonParser at, MemberReader member) throws IOException {
         if (at.currentToken() != JsonToken.START_OBJECT) {
-            throw fault(at, "not an object");
+            throw error(at, "not an object");
         }
         while (at.nextToken() != JsonToken.END_OBJECT) {
             String name = at.currentName();
@@ -91,9 +91,9 @@
     }
 
     /** {@code element} is called with the parser at the first token of each element. */
-    public static void list(JsonParser at, Reader<?> element) throws IOException {
+    public static void readArray(JsonParser at, ValueReader<?> element) throws IOException {
         if (at.currentToken() != JsonToken.START_ARRAY) {
-            throw fault(at, "not a list");
+            throw error(at, "not a list");
         }
         while (at.nextToken() != JsonToken.END_ARRAY) {
             element.read(at);
@@ -101,17 +101,17 @@
     }
 
     /** Returns the string that the parser stands at. */
-    public static String text(JsonParser at) throws IOException {
+    public static String readString(JsonParser at) throws IOException {
         if (at.currentToken() != JsonToken.VALUE_STRING) {
-            throw fault(at, "not a string");
+            throw error(at, "not a string");
         }
         return at.getText();
     }
 
     /** Returns the number that the parser stands at. */
-    public static double number(JsonParser at) throws IOException {
+    public static double readNumber(JsonParser at) throws IOException {
         if (!at.currentToken().isNumeric()) {
-            throw fault(at, "not a number");
+            throw error(at, "not a number");
         }
         return at.getDoubleValue();
     }
@@ -121,11 +121,11 @@
         throws IOException {
         JsonToken token = at.currentToken();
         if (token == JsonToken.START_OBJECT) {
-            object(at, (name, value) -> flatten(path.isEmpty() ? name : path + '.' + name, value, into));
+            readObject(at, (name, value) -> flatten(path.isEmpty() ? name : path + '.' + name, value, into));
         } else if (token == JsonToken.START_ARRAY) {
             StringJoiner plain = new StringJoiner(",");
             int[] count = {0};
-            list(at, element -> {
+            readArray(at, element -> {
                 if (element.currentToken().isScalarValue()) {
                     plain.add(element.getText());
                 } else {
@@ -141,12 +141,12 @@
     }
 
     /** The bytes, in UTF-8, of what is written. */
-    public static byte[] write(Written written) {
+    public static byte[] write(ContentWriter written) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
             // Values that follow each other are lines here, each ended by its writer.
             out.setRootValueSeparator(null);
-            written.to(out);
+            written.writeTo(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/relay/src/main/java/yewpath/json/Values.java
+++ b/relay/src/main/java/yewpath/json/JsonObjectSplitter.java
@@ -11,7 +11,7 @@
  * Cuts bytes that come piece by piece into objects and the empty lines between them. An object may stand on one line or
  * be indented over many; one that can't come to its end any more is found out at the first byte that says so.
  */
-public final class Values {
+public final class JsonObjectSplitter {
     private final Consumer<byte[]> object;
     private final Runnable emptyLine;
     private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
@@ -19,13 +19,13 @@
     /** Whether the line that goes on ended an object, and so is no empty one. */
     private boolean lineTaken;
 
-    public Values(Consumer<byte[]> object, Runnable emptyLine) {
+    public JsonObjectSplitter(Consumer<byte[]> object, Runnable emptyLine) {
         this.object = object;
         this.emptyLine = emptyLine;
     }
 
     /** Whether an object has begun that is not whole. */
-    public boolean isInside() {
+    public boolean isIncomplete() {
         return parser != null;
     }
 
@@ -56,7 +56,7 @@
     /** Returns where the object ends, or these bytes do. */
     private int inside(byte[] bytes, int from) {
         try {
-            parser = parser == null ? Tokens.incremental() : parser;
+            parser = parser == null ? Json.incremental() : parser;
             ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, from, bytes.length);
             for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser
                 .nextToken()) {
@@ -73,7 +73,7 @@
                 }
             }
         } catch (IOException garbled) {
-            throw Tokens.garbled(garbled);
+            throw Json.garbled(garbled);
         }
         begun.write(bytes, from, bytes.length - from);
         return bytes.length;
--- a/relay/src/main/java/yewpath/ledger/Ledger.java
+++ b/relay/src/main/java/yewpath/ledger/Ledger.java
@@ -53,7 +53,7 @@
         file = new LogFile(folder);
         long torn = file.replay(this::restore);
         if (torn > 0) {
-            Log.tell(Event.LEDGER_TORN, torn);
+            Log.log(Event.LEDGER_TRUNCATED, torn);
         }
         takeOver(now);
         rewrite();
@@ -197,7 +197,7 @@
         try {
             file.replace(records::iterator);
             if (before > 0) {
-                Log.tell(Event.LEDGER_COMPACTED, before, file.length(), live.size(),
+                Log.log(Event.LEDGER_COMPACTED, before, file.length(), live.size(),
                     (System.nanoTime() - begun) / 1_000_000);
             }
             written();
@@ -210,14 +210,14 @@
         pending.clear();
         pendingBytes = 0;
         if (!writable) {
-            Log.tell(Event.LEDGER_RECOVERED, live.size());
+            Log.log(Event.LEDGER_RECOVERED, live.size());
         }
         writable = true;
     }
 
     private void failed(IOException e) {
         if (writable) {
-            Log.tell(Event.LEDGER_FAILED, e);
+            Log.log(Event.LEDGER_FAILED, e);
         }
         writable = false;
     }
@@ -232,7 +232,7 @@
     /** Notices a folder that was replaced under this process; the next flush writes all into the new one. */
     public void checkPlace() {
         if (writable && !file.isInPlace()) {
-            Log.tell(Event.LEDGER_REPLACED, live.size());
+            Log.log(Event.LEDGER_REPLACED, live.size());
             file.abandon();
             writable = false;
         }
--- a/relay/src/main/java/yewpath/ledger/LogFile.java
+++ b/relay/src/main/java/yewpath/ledger/LogFile.java
@@ -58,7 +58,7 @@
             number++;
         } while (Files.exists(to, LinkOption.NOFOLLOW_LINKS));
         Files.move(path, to);
-        Log.tell(Event.LEDGER_SET_ASIDE, path.toString(), to.toString());
+        Log.log(Event.LEDGER_MOVED_ASIDE, path.toString(), to.toString());
     }
 
     /** Hands on the records of an earlier process; returns how many bytes at the end are none. */
@@ -127,7 +127,7 @@
         try {
             Files.deleteIfExists(next);
         } catch (IOException e) {
-            Log.tell(Event.LEDGER_LEFTOVER, next.toString(), e);
+            Log.log(Event.LEDGER_LEFTOVER, next.toString(), e);
         }
     }
 
@@ -157,7 +157,7 @@
             channel.close();
         } catch (IOException e) {
             // What was written before is in the file or was told as failed.
-            Log.tell(Event.LIBRARY, "closing the log failed", e);
+            Log.log(Event.LIBRARY, "closing the log failed", e);
         }
     }
 
--- a/relay/src/main/java/yewpath/ledger/Records.java
+++ b/relay/src/main/java/yewpath/ledger/Records.java
@@ -69,7 +69,7 @@
             sink.record(type, record);
         } catch (RuntimeException unknown) {
             // Whole, so written by a program that means something else by it.
-            Log.tell(Event.LEDGER_RECORD_SKIPPED, type, unknown);
+            Log.log(Event.LEDGER_RECORD_SKIPPED, type, unknown);
         }
     }
 
--- a/relay/src/main/java/yewpath/loop/Limits.java
+++ b/relay/src/main/java/yewpath/loop/Limits.java
@@ -1,13 +1,13 @@
 package yewpath.loop;
 
 import java.util.function.ToDoubleFunction;
-import yewpath.operator.Catalogue;
-import yewpath.operator.Operator;
+import yewpath.operator.OperatorKeys;
+import yewpath.operator.OperatorSettings;
 
 /**
  * Every bound on sizes, counts and times of the network code; filled at start, handed down from there, and filled
  * anew when the operator's file has changed. Times are microseconds, sizes bytes. What is read once, where something
- * is built, waits for a restart: {@link Catalogue} says of which keys that holds.
+ * is built, waits for a restart: {@link OperatorKeys} says of which keys that holds.
  */
 public final class Limits {
     private record Figures(int clientLinks, int acceptAhead, int endpointLinks, int backlog, int ringFirst,
@@ -27,7 +27,7 @@
 
     /** {@code told} gives a figure of the platform's configuration, or 0. */
     public Limits(ToDoubleFunction<String> told, long connectTimeout, long connectionIdle,
-        Operator operator) {
+        OperatorSettings operator) {
         this.told = told;
         this.connectTimeout = connectTimeout;
         this.connectionIdle = connectionIdle;
@@ -35,47 +35,53 @@
     }
 
     /** Sets all limits from the operator's settings and what the platform allows. */
-    public void fill(Operator o) {
+    public void fill(OperatorSettings o) {
         // Left for files, the jars, the selector, the ledger, the listener and the links to discovery.
         int links = Math.max(3, (int) or("sockets", 1024) - 48);
         long heap = Runtime.getRuntime().maxMemory();
         double disk = or("disk_mb", 64) * (1 << 20);
         long idle = connectionIdle > 0 ? connectionIdle : 10 * SECOND;
-        int ring = (int) o.figure(Catalogue.RING_MOST);
-        int body = (int) o.figure(Catalogue.CLIENT_BODY);
+        int ring = (int) o.number(OperatorKeys.BUFFER_MAX_BYTES);
+        int body = (int) o.number(OperatorKeys.CLIENT_MAX_BODY_BYTES);
         now = new Figures(
             // Usual clients hold a third of all descriptors at most; what is over is for those that say nothing.
             // Two fifths suffice for endpoints: a call more closes the connection that lay idle longest.
             // Each client's connection may hold a ring and a body: all of them together must fit the heap.
-            (int) o.figureOr(Catalogue.CLIENT_LINKS,
+            (int) o.numberOr(OperatorKeys.CLIENT_CONNECTIONS,
                 Math.max(1, Math.min(links * 3 / 5, heap / 5 * 2 / (ring + body)))),
-            (int) o.figure(Catalogue.CLIENT_ACCEPT_AHEAD),
-            (int) o.figureOr(Catalogue.ENDPOINT_LINKS, Math.max(1, links * 2 / 5)),
-            (int) o.figure(Catalogue.CLIENT_BACKLOG),
-            (int) o.figure(Catalogue.RING_FIRST), ring, (int) o.figure(Catalogue.CLIENT_HEAD), body,
-            (int) o.figure(Catalogue.CLIENT_ID), (int) o.figure(Catalogue.LINE_MOST),
+            (int) o.number(OperatorKeys.CLIENT_ACCEPT_AHEAD),
+            (int) o.numberOr(OperatorKeys.ENDPOINT_CONNECTIONS, Math.max(1, links * 2 / 5)),
+            (int) o.number(OperatorKeys.CLIENT_BACKLOG),
+            (int) o.number(OperatorKeys.BUFFER_INITIAL_BYTES), ring,
+            (int) o.number(OperatorKeys.CLIENT_MAX_HEAD_BYTES), body,
+            (int) o.number(OperatorKeys.CLIENT_MAX_ID_LENGTH),
+            (int) o.number(OperatorKeys.DISCOVERY_MAX_LINE_BYTES),
             // Written anew at over half of the disk, with at most 0.4 of it still live: old and new fit together.
-            (long) (o.part(Catalogue.LEDGER_LIVE) * disk), (long) (o.part(Catalogue.LEDGER_ANEW) * disk),
-            (int) o.figure(Catalogue.LEDGER_ASIDE),
+            (long) (o.fraction(OperatorKeys.LEDGER_LIVE_FRACTION) * disk),
+            (long) (o.fraction(OperatorKeys.LEDGER_COMPACTION_FRACTION) * disk),
+            (int) o.number(OperatorKeys.LEDGER_RESERVED_BYTES),
             // A client is owed an error or a close within 3 s of connecting, but 2 s of silence are its own.
-            o.figure(Catalogue.CLIENT_REQUEST), o.figure(Catalogue.CLIENT_IDLE),
-            o.figure(Catalogue.CLIENT_SILENT),
-            o.figure(Catalogue.CLIENT_IDLE_LEAST), o.figure(Catalogue.CLIENT_SPEECH),
-            o.figure(Catalogue.CLIENT_LINGER), (int) o.figure(Catalogue.CLIENT_LINGER_MOST),
-            o.figure(Catalogue.CLIENT_SWEEP),
+            o.number(OperatorKeys.CLIENT_REQUEST_TIMEOUT), o.number(OperatorKeys.CLIENT_IDLE_TIMEOUT),
+            o.number(OperatorKeys.CLIENT_FIRST_BYTE_TIMEOUT),
+            o.number(OperatorKeys.CLIENT_EVICTABLE_IDLE_TIME),
+            o.number(OperatorKeys.CLIENT_EVICTABLE_SILENT_TIME),
+            o.number(OperatorKeys.CLIENT_LINGER_TIME), (int) o.number(OperatorKeys.CLIENT_MAX_LINGER_BYTES),
+            o.number(OperatorKeys.CLIENT_SWEEP_INTERVAL),
             connectTimeout > 0 ? connectTimeout : SECOND,
             // Ahead of the endpoint's own clock by what a busy machine and the network may add.
             idle - Math.min(SECOND, idle / 8),
             // An endpoint writes an answer in one go, late or not.
-            o.figure(Catalogue.ENDPOINT_REST),
+            o.number(OperatorKeys.ENDPOINT_RESPONSE_COMPLETION_TIMEOUT),
             // Discovery says something every 2 s unless it is down, and counts as heard 6 s after a change.
             // Silence and the longest pause before the next try stay under that together.
-            o.figure(Catalogue.WATCH_SILENCE), o.figure(Catalogue.RETRY_FIRST),
-            o.figure(Catalogue.RETRY_MOST),
+            o.number(OperatorKeys.DISCOVERY_SILENCE_TIMEOUT),
+            o.number(OperatorKeys.DISCOVERY_MIN_RETRY_DELAY),
+            o.number(OperatorKeys.DISCOVERY_MAX_RETRY_DELAY),
             // A notice not answered at once goes again while it still is in time.
-            o.figure(Catalogue.NOTICE_WITHIN), (int) o.figure(Catalogue.NOTICES_AT_ONCE),
+            o.number(OperatorKeys.NOTICE_TIMEOUT), (int) o.number(OperatorKeys.NOTICE_MAX_BATCH_SIZE),
             // Asked to end, a relay has 3.5 s: shots begin in the first part only, so that most come to their end.
-            o.figure(Catalogue.DRAIN_FRESH), o.figure(Catalogue.DRAIN_MOST), o.figure(Catalogue.DRAIN_LEAST));
+            o.number(OperatorKeys.SHUTDOWN_ATTEMPT_PERIOD), o.number(OperatorKeys.SHUTDOWN_MAX_DURATION),
+            o.number(OperatorKeys.SHUTDOWN_MIN_DURATION));
     }
 
     private double or(String name, double otherwise) {
--- a/relay/src/main/java/yewpath/loop/Loop.java
+++ b/relay/src/main/java/yewpath/loop/Loop.java
@@ -91,7 +91,7 @@
         try {
             act.run();
         } catch (RuntimeException | Error e) {
-            Log.tell(Event.RELAY_FAULT, e);
+            Log.log(Event.RELAY_ERROR, e);
         }
     }
 
--- a/relay/src/main/java/yewpath/operator/Operator.java
+++ b/relay/src/main/java/yewpath/operator/OperatorSettings.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.Objects;
 import yewpath.configuration.Key;
-import yewpath.configuration.Values;
+import yewpath.configuration.SettingValues;
 
 /** What is in force: the operator's file over the catalogue. Never changes: a new file makes a new one. */
-public final class Operator {
+public final class OperatorSettings {
     /** No file: all as it stands in the catalogue. */
-    public static final Operator STANDARD = new Operator(new Values());
+    public static final OperatorSettings STANDARD = new OperatorSettings(new SettingValues());
 
-    private final Values values;
+    private final SettingValues values;
 
-    Operator(Values values) {
+    OperatorSettings(SettingValues values) {
         this.values = values;
     }
 
@@ -23,21 +23,21 @@
     }
 
     /** Of counts, spans (microseconds) and sizes (bytes). */
-    public long figure(Key key) {
-        return values.figure(key);
+    public long number(Key key) {
+        return values.number(key);
     }
 
     /** {@code derived} holds where the file says nothing. */
-    public long figureOr(Key key, long derived) {
-        return values.isTold(key) ? values.figure(key) : derived;
+    public long numberOr(Key key, long derived) {
+        return values.isSet(key) ? values.number(key) : derived;
     }
 
-    public double part(Key key) {
-        return values.part(key);
+    public double fraction(Key key) {
+        return values.fraction(key);
     }
 
-    public String word(Key key) {
-        return values.word(key);
+    public String string(Key key) {
+        return values.string(key);
     }
 
     /** "file:line", "default" or "derived". */
@@ -46,10 +46,10 @@
     }
 
     /** The keys whose values differ, of those that a running relay takes up, or of the others. */
-    public List<String> changes(Operator anew, boolean live) {
+    public List<String> changedKeys(OperatorSettings anew, boolean live) {
         List<String> paths = new ArrayList<>();
-        for (Key key : Catalogue.all()) {
-            if (key.live == live && !Objects.equals(value(key), anew.value(key))) {
+        for (Key key : OperatorKeys.all()) {
+            if (key.reloadable == live && !Objects.equals(value(key), anew.value(key))) {
                 paths.add(key.path);
             }
         }
--- a/relay/src/main/java/yewpath/operator/Reference.java
+++ b/relay/src/main/java/yewpath/operator/Reference.java
@@ -10,9 +10,9 @@
     /** Returns every key as plain text. */
     public static String text() {
         StringBuilder out = new StringBuilder();
-        for (Key key : Catalogue.all()) {
-            out.append(key.path).append("  (").append(key.standardShown()).append("; ").append(key.range())
-                .append(key.live ? "; SIGHUP" : "; restart").append(")\n    ").append(key.sentence)
+        for (Key key : OperatorKeys.all()) {
+            out.append(key.path).append("  (").append(key.formattedDefault()).append("; ").append(key.range())
+                .append(key.reloadable ? "; SIGHUP" : "; restart").append(")\n    ").append(key.description)
                 .append('\n');
         }
         return out.toString();
@@ -32,14 +32,14 @@
                 What the platform tells (`limits`, `settings`) stays in its own JSON; `deploy/yewpath.toml` is a file to start from.
                 `bin/yewpath config check FILE` looks for faults, `bin/yewpath config show FILE` tells what is in force and from where.
                 """);
-        for (Map.Entry<String, String> table : Catalogue.tables().entrySet()) {
+        for (Map.Entry<String, String> table : OperatorKeys.tables().entrySet()) {
             out.append("\n## [").append(table.getKey()).append("]\n\n").append(table.getValue())
                 .append("\n\n| key | default | range | taken up | |\n| --- | --- | --- | --- | --- |\n");
-            for (Key key : Catalogue.all()) {
+            for (Key key : OperatorKeys.all()) {
                 if (key.table().equals(table.getKey())) {
                     out.append("| `").append(key.path.substring(key.path.indexOf('.') + 1)).append("` | ")
-                        .append(key.standardShown()).append(" | ").append(key.range()).append(" | ")
-                        .append(key.live ? "SIGHUP" : "restart").append(" | ").append(key.sentence)
+                        .append(key.formattedDefault()).append(" | ").append(key.range()).append(" | ")
+                        .append(key.reloadable ? "SIGHUP" : "restart").append(" | ").append(key.description)
                         .append(" |\n");
                 }
             }
@@ -48,16 +48,16 @@
     }
 
     /** The values in force, as a file that would set them so, each with where it comes from. */
-    public static String effective(Operator operator) {
+    public static String effective(OperatorSettings operator) {
         StringBuilder out = new StringBuilder();
         String table = "";
-        for (Key key : Catalogue.all()) {
+        for (Key key : OperatorKeys.all()) {
             if (!key.table().equals(table)) {
                 out.append(table.isEmpty() ? "" : "\n").append('[').append(table = key.table()).append("]\n");
             }
             Object value = operator.value(key);
             String name = key.path.substring(key.path.indexOf('.') + 1);
-            out.append(value == null ? "# " + name + " =" : name + " = " + key.type.show(value))
+            out.append(value == null ? "# " + name + " =" : name + " = " + key.type.format(value))
                 .append("   # ")
                 .append(operator.origin(key)).append('\n');
         }
--- a/relay/src/main/java/yewpath/outcome/Notices.java
+++ b/relay/src/main/java/yewpath/outcome/Notices.java
@@ -13,7 +13,7 @@
 import yewpath.http.CloseReason;
 import yewpath.http.Parser;
 import yewpath.http.Writer;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 import yewpath.ledger.Entry;
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
@@ -87,7 +87,7 @@
             connection = new ServerConnection(loop, limits, platform, limits.bodyMost());
         }
         byte[] request = Writer.request("POST", "/v1/outcomes", platform)
-            .with("Content-Type", "application/json").done(Tokens.write(out -> {
+            .with("Content-Type", "application/json").done(Json.write(out -> {
                 for (Entry entry : batch) {
                     line(out, entry);
                 }
@@ -133,7 +133,7 @@
             return;
         }
         if (status == 400) {
-            Log.tell(Event.NOTICE_REFUSED, batch.get(0).id);
+            Log.log(Event.NOTICE_REFUSED, batch.get(0).id);
         }
         atOnce = limits.noticesAtOnce();
         underWay = 0;
@@ -149,7 +149,7 @@
             owed.addFirst(batch.get(i));
         }
         backoff = Math.min(limits.retryMost(), Math.max(limits.retryFirst(), 2 * backoff));
-        Log.tell(Event.NOTICE_UNHEARD, batch.size(), backoff / 1000);
+        Log.log(Event.NOTICE_UNACKNOWLEDGED, batch.size(), backoff / 1000);
         pause = loop.after(backoff, this::goOn);
     }
 
--- a/relay/src/main/java/yewpath/relay/Config.java
+++ b/relay/src/main/java/yewpath/relay/Config.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import yewpath.boot.Boot;
 import yewpath.boot.Malformed;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
 import yewpath.directory.Listing;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 import yewpath.loop.Limits;
-import yewpath.operator.Operator;
 import yewpath.operator.OperatorFile;
+import yewpath.operator.OperatorSettings;
 
 /** What a relay is told at its start, by file and environment; the latter wins. */
 public final class Config {
@@ -37,12 +37,12 @@
     /** The list of endpoints as last held; null where none is told. */
     Listing known;
     /** What the operator's file says, or all at its default. */
-    public final Operator operator;
+    public final OperatorSettings operator;
     final String operatorFile;
     private final String file;
     private final Map<String, String> environment;
 
-    private Config(String file, byte[] json, String operatorFile, Operator operator,
+    private Config(String file, byte[] json, String operatorFile, OperatorSettings operator,
         Map<String, String> environment) {
         this.file = file;
         this.operatorFile = operatorFile;
@@ -50,14 +50,14 @@
         this.environment = environment;
         Map<String, String> flat = new HashMap<>();
         Map<String, String> settings = new HashMap<>();
-        Tokens.read(json, at -> {
-            Tokens.object(at, (name, value) -> {
+        Json.parse(json, at -> {
+            Json.readObject(at, (name, value) -> {
                 if (name.equals("known") && value.currentToken() != JsonToken.VALUE_NULL) {
                     known = Listing.read(value);
                 } else if (name.equals("settings")) {
-                    Tokens.object(value, (inner, setting) -> Tokens.flatten(inner, setting, settings::put));
+                    Json.readObject(value, (inner, setting) -> Json.flatten(inner, setting, settings::put));
                 } else {
-                    Tokens.flatten(name, value, flat::put);
+                    Json.flatten(name, value, flat::put);
                 }
             });
             return null;
@@ -116,9 +116,9 @@
             throw new Fault("no configuration: name a file by --config or $NODE_CONFIG");
         }
         try {
-            Operator operator = OperatorFile.read(operatorFile);
+            OperatorSettings operator = OperatorFile.read(operatorFile);
             return new Config(path, Files.readAllBytes(Path.of(path)), operatorFile, operator, environment);
-        } catch (Faults faults) {
+        } catch (ConfigurationException faults) {
             throw new Fault(faults.getMessage());
         } catch (IOException e) {
             throw new Fault(path + " cannot be read: " + e.getMessage());
--- a/relay/src/main/java/yewpath/relay/Endpoints.java
+++ b/relay/src/main/java/yewpath/relay/Endpoints.java
@@ -107,8 +107,8 @@
         if (phase != UP) {
             delivery.shut(at);
         }
-        if (Log.tells(Event.ENDPOINT_LISTED)) {
-            Log.tell(Event.ENDPOINT_LISTED, id, address, destination,
+        if (Log.isEnabled(Event.ENDPOINT_LISTED)) {
+            Log.log(Event.ENDPOINT_LISTED, id, address, destination,
                 phase == UP ? "up" : phase == 1 ? "draining" : "removed");
         }
         logic.listed(at, boot.zones.of(zone), kindAt, to, phase, rate, since);
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -18,7 +18,7 @@
 import yewpath.events.Log;
 import yewpath.intake.MessageIntake;
 import yewpath.intake.ClientListener;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 import yewpath.ledger.Entry;
 import yewpath.ledger.Ledger;
 import yewpath.loop.Limits;
@@ -139,8 +139,8 @@
         int offering = boot.offerings.find(entry.offering);
         hand(envelopes.add(entry, loop.now()), offering < 0 ? unknownOffering : offering,
             boot.zones.of(entry.doubtZone));
-        if (Log.tells(Event.ENVELOPE_RESTORED)) {
-            Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.shots, entry.doubtSince >= 0);
+        if (Log.isEnabled(Event.MESSAGE_RESTORED)) {
+            Log.log(Event.MESSAGE_RESTORED, entry.id, entry.shots, entry.doubtSince >= 0);
         }
     }
 
@@ -198,13 +198,13 @@
     }
 
     @Override
-    public boolean knows(String offering) {
+    public boolean isKnownClass(String offering) {
         return boot.offerings.find(offering) >= 0;
     }
 
     @Override
-    public byte[] figures() {
-        return Tokens.write(out -> {
+    public byte[] statistics() {
+        return Json.write(out -> {
             out.writeStartObject();
             out.writeNumberField("open", envelopes.open());
             out.writeNumberField("calls_out", delivery.callsOut());
@@ -217,14 +217,14 @@
             out.writeNumberField("fulfilled", fulfilledEver);
             out.writeNumberField("deferred", deferredEver);
             out.writeNumberField("aborted", abortedEver);
-            out.writeNumberField("log_dropped", Log.dropped());
+            out.writeNumberField("log_dropped", Log.droppedLines());
             out.writeEndObject();
             out.writeRaw('\n');
         });
     }
 
     @Override
-    public void handIn(String id, String offering, String tenant, String key, String tag, String destination,
+    public void submit(String id, String offering, String tenant, String key, String tag, String destination,
         long within, byte[] body, Reply reply) {
         long expiry = loop.now() + within;
         loop.gather(() -> take(id, offering, tenant, key, tag, destination, expiry, body, reply));
@@ -232,12 +232,12 @@
 
     private void take(String id, String offering, String tenant, String key, String tag, String destination,
         long expiry, byte[] body, Reply reply) {
-        if (reply.clientLeft()) {
+        if (reply.isClientGone()) {
             return;
         }
         if (envelopes.has(id)) {
             // Already taken on under this id: its end is owed once, and is.
-            reply.with(202, 0);
+            reply.send(202, 0);
             return;
         }
         Entry entry = ledger.draft(id, offering, tenant, key, tag, destination, expiry, body);
@@ -256,18 +256,18 @@
         one.reply = reply;
         taken.add(one);
         takenEver++;
-        if (Log.tells(Event.ENVELOPE_TAKEN)) {
-            Log.tell(Event.ENVELOPE_TAKEN, id, offering, tenant, destination, (expiry - loop.now()) / 1000,
+        if (Log.isEnabled(Event.MESSAGE_ACCEPTED)) {
+            Log.log(Event.MESSAGE_ACCEPTED, id, offering, tenant, destination, (expiry - loop.now()) / 1000,
                 body.length);
         }
         hand(one, boot.offerings.find(offering), 0);
     }
 
     private void refuse(String id, String why, Reply reply) {
-        if (Log.tells(Event.ENVELOPE_REFUSED)) {
-            Log.tell(Event.ENVELOPE_REFUSED, id, why);
+        if (Log.isEnabled(Event.MESSAGE_REFUSED)) {
+            Log.log(Event.MESSAGE_REFUSED, id, why);
         }
-        reply.with(503, tellsPause ? logic.awayFor() : 0);
+        reply.send(503, tellsPause ? logic.awayFor() : 0);
     }
 
     /** The first thing to leave in a round: that envelopes handed in are taken on. */
@@ -280,7 +280,7 @@
     private void answerClient(HeldMessage one) {
         Reply reply = one.reply;
         one.reply = null;
-        if (!one.over && !reply.with(202, 0)) {
+        if (!one.over && !reply.send(202, 0)) {
             // It may hand the envelope in again under another id.
             one.left = true;
             loop.gather(() -> withdraw(one));
@@ -289,7 +289,7 @@
 
     private void withdraw(HeldMessage one) {
         if (!one.over) {
-            Log.tell(Event.ENVELOPE_WITHDRAWN, one.entry.id);
+            Log.log(Event.MESSAGE_WITHDRAWN, one.entry.id);
         }
         letGo(one);
     }
@@ -396,8 +396,8 @@
         @Override
         public void leaving() {
             ledger.shot(one.entry, loop.now(), endpoints.zone(endpoint));
-            if (Log.tells(Event.ENVELOPE_SHOT)) {
-                Log.tell(Event.ENVELOPE_SHOT, one.entry.id, number, endpoints.name(endpoint));
+            if (Log.isEnabled(Event.ATTEMPT_STARTED)) {
+                Log.log(Event.ATTEMPT_STARTED, one.entry.id, number, endpoints.name(endpoint));
             }
         }
 
@@ -426,7 +426,7 @@
                 ledger.back(one.entry, outcome == FULL || outcome == UNREACHED || outcome == MOOT);
             }
             one.call = null;
-            if (Log.tells(Event.ENVELOPE_BACK)) {
+            if (Log.isEnabled(Event.ATTEMPT_FAILED)) {
                 tellEnd(outcome, wait, over, elapsed);
             }
             logic.settled(one.index, over || one.over, number, endpoint, outcome, wait, elapsed, left, limit);
@@ -439,10 +439,10 @@
 
         private void tellEnd(int outcome, long wait, boolean over, long elapsed) {
             if (over) {
-                Log.tell(Event.ENVELOPE_FULFILLED, one.entry.id, number, endpoints.name(endpoint),
+                Log.log(Event.MESSAGE_DELIVERED, one.entry.id, number, endpoints.name(endpoint),
                     elapsed / 1000);
             } else {
-                Log.tell(Event.ENVELOPE_BACK, one.entry.id, number, endpoints.name(endpoint),
+                Log.log(Event.ATTEMPT_FAILED, one.entry.id, number, endpoints.name(endpoint),
                     OUTCOMES[outcome],
                     elapsed / 1000, wait / 1000);
             }
@@ -472,7 +472,7 @@
 
     @Override
     public void health(int endpoint, boolean well) {
-        Log.tell(well ? Event.ENDPOINT_WELL : Event.ENDPOINT_SICK, endpoints.name(endpoint));
+        Log.log(well ? Event.ENDPOINT_HEALTHY : Event.ENDPOINT_UNHEALTHY, endpoints.name(endpoint));
     }
 
     // ---- Ends
@@ -494,15 +494,15 @@
             return;
         }
         if (handedBack) {
-            Log.tell(Event.ENVELOPE_HANDED_BACK, one.entry.id, pause / 1000);
+            Log.log(Event.MESSAGE_REJECTED, one.entry.id, pause / 1000);
         } else {
-            Log.tell(Event.ENVELOPE_GIVEN_UP, one.entry.id);
+            Log.log(Event.MESSAGE_FAILED, one.entry.id);
         }
         envelopes.end(one, loop.now());
         if (one.reply != null) {
             Reply reply = one.reply;
             ledger.over(one.entry);
-            acts.add(() -> reply.with(handedBack ? 503 : 500, pause));
+            acts.add(() -> reply.send(handedBack ? 503 : 500, pause));
         } else {
             ledger.owed(one.entry, handedBack, pause);
             acts.add(() -> owe(one.entry));
@@ -543,7 +543,7 @@
     // ---- Closing
 
     void close(ClientListener listener, CountDownLatch gone) {
-        Log.tell(Event.RELAY_CLOSING, envelopes.open(), delivery.callsOut());
+        Log.log(Event.RELAY_CLOSING, envelopes.open(), delivery.callsOut());
         closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isTelling(),
             () -> envelopes.open() > 0,
             gone);
@@ -552,6 +552,6 @@
     /** The last words, once closing is done. */
     void closed() {
         ledger.compact();
-        Log.tell(Event.RELAY_CLOSED, ledger.size(), delivery.callsOut());
+        Log.log(Event.RELAY_CLOSED, ledger.size(), delivery.callsOut());
     }
 }
--- a/relay/src/main/java/yewpath/relay/RelayServer.java
+++ b/relay/src/main/java/yewpath/relay/RelayServer.java
@@ -16,8 +16,8 @@
 import yewpath.ledger.Ledger;
 import yewpath.loop.Clock;
 import yewpath.loop.Loop;
-import yewpath.operator.Catalogue;
-import yewpath.operator.Operator;
+import yewpath.operator.OperatorKeys;
+import yewpath.operator.OperatorSettings;
 
 /** Starts a relay and ends it when the process is asked to. */
 public final class RelayServer {
@@ -61,7 +61,7 @@
                 ClientListener listener = new ClientListener(loop, config.limits, relay[0]);
                 // Ahead of the first client: none is met by a process that would end as if it had been killed.
                 if (asked.toEnd(() -> end(loop, relay[0], listener, config))) {
-                    at[0] = listener.open(worker, config.listen);
+                    at[0] = listener.listen(worker, config.listen);
                 } else {
                     failure[0] = new IOException("asked to end before it had begun");
                 }
@@ -75,7 +75,7 @@
         if (failure[0] != null) {
             throw new IOException("cannot start: " + failure[0].getMessage(), failure[0]);
         }
-        Log.tell(Event.RELAY_STARTED, config.name, at[0], ledger.size(), config.operatorFile);
+        Log.log(Event.RELAY_STARTED, config.name, at[0], ledger.size(), config.operatorFile);
         Config[] inForce = {config};
         asked.toReload(() -> reload(loop, relay[0], config, inForce));
         return new Running(at[0], loop, ledger);
@@ -95,16 +95,18 @@
                         "the lasting folder " + config.state + (isNoFolder ? " is no folder" : ": " + e), e);
                 }
                 if (isFirst) {
-                    Log.tell(Event.LEDGER_UNREADABLE, e);
+                    Log.log(Event.LEDGER_UNREADABLE, e);
                 }
                 TimeUnit.MICROSECONDS.sleep(OPEN_AGAIN_AFTER);
             }
         }
     }
 
-    private static void logAsTold(Operator operator) {
-        Log.set(operator.word(Catalogue.LOG_LEVEL), operator.word(Catalogue.LOG_FORM).equals("json"),
-            (int) operator.figure(Catalogue.LOG_FLOOD), (int) operator.figure(Catalogue.LOG_QUEUE));
+    private static void logAsTold(OperatorSettings operator) {
+        Log.configure(operator.string(OperatorKeys.LOG_LEVEL),
+            operator.string(OperatorKeys.LOG_FORMAT).equals("json"),
+            (int) operator.number(OperatorKeys.LOG_MAX_LINES_PER_SECOND),
+            (int) operator.number(OperatorKeys.LOG_QUEUE_LINES));
     }
 
     /** A new file that cannot be read, of the platform's or the operator's, leaves all as it was. */
@@ -113,7 +115,7 @@
         try {
             anew = inForce[0].again();
         } catch (Config.Fault e) {
-            Log.tell(Event.RELAY_RELOAD_REFUSED, List.of(e.getMessage().split("\n")));
+            Log.log(Event.RELAY_RELOAD_REFUSED, List.of(e.getMessage().split("\n")));
             return;
         }
         Config old = inForce[0];
@@ -123,8 +125,8 @@
             started.limits.fill(anew.operator);
             relay.discoveryAt(anew.discovery);
         });
-        Log.tell(Event.RELAY_RELOADED, anew.discovery, old.operator.changes(anew.operator, true),
-            started.operator.changes(anew.operator, false));
+        Log.log(Event.RELAY_RELOADED, anew.discovery, old.operator.changedKeys(anew.operator, true),
+            started.operator.changedKeys(anew.operator, false));
     }
 
     private static void end(Loop loop, Relay relay, ClientListener listener, Config config) {
--- a/relay/src/main/java/yewpath/relay/Shutdown.java
+++ b/relay/src/main/java/yewpath/relay/Shutdown.java
@@ -60,28 +60,28 @@
         long beat = limits.drainLeast() / 10;
         long closingFor = now - since;
         if (stage != Stage.REFUSING) {
-            listener.endResting();
+            listener.closeIdle();
         }
         switch (stage) {
             case REFUSING -> {
                 if (closingFor >= limits.drainLeast()) {
                     stage = Stage.FINISHING;
-                    listener.endResting();
+                    listener.closeIdle();
                 }
             }
             case FINISHING -> {
                 boolean waits = underWay.getAsBoolean() || held.getAsBoolean() && mayShoot(now);
                 if (!waits || closingFor >= limits.drainMost()) {
                     stage = Stage.SHUTTING;
-                    listener.shut();
+                    listener.stopAccepting();
                 }
             }
             default -> {
                 // Ahead of the bound, so that who is refused now has read its answer by then.
                 if (closingFor >= limits.drainBound() - 3 * beat) {
-                    listener.endAll();
+                    listener.closeRemaining();
                 }
-                if (listener.isEmpty() || closingFor >= limits.drainBound()) {
+                if (listener.isDrained() || closingFor >= limits.drainBound()) {
                     stage = Stage.GONE;
                     gone.countDown();
                     return;
--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -30,7 +30,7 @@
 import yewpath.intake.ClientListener;
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
-import yewpath.operator.Operator;
+import yewpath.operator.OperatorSettings;
 
 /** Calls and clients' visits on real connections, with the thread that serves them held still at the instant in question. */
 public final class ConnectionsTest {
@@ -44,7 +44,7 @@
         worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
             .set(Options.WORKER_TASK_CORE_THREADS, 1).getMap());
         loop = new Loop(worker.getIoThread());
-        limits = new Limits(name -> 0, 2_000_000, 2_000_000, Operator.STANDARD);
+        limits = new Limits(name -> 0, 2_000_000, 2_000_000, OperatorSettings.STANDARD);
         delivery = new Delivery(loop, limits, List.of(), () -> true);
     }
 
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public boolean knows(String offering) {
+        public boolean isKnownClass(String offering) {
             return true;
         }
 
@@ -239,15 +239,15 @@
         }
 
         @Override
-        public byte[] figures() {
+        public byte[] statistics() {
             return new byte[0];
         }
 
         @Override
-        public void handIn(String id, String offering, String tenant, String key, String tag,
+        public void submit(String id, String offering, String tenant, String key, String tag,
             String destination, long within,
             byte[] body, Reply reply) {
-            reply.with(503, 0);
+            reply.send(503, 0);
         }
     }
 
@@ -259,7 +259,7 @@
         CountDownLatch open = new CountDownLatch(1);
         loop.thread().execute(() -> {
             try {
-                at[0] = door.open(worker, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+                at[0] = door.listen(worker, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -282,7 +282,7 @@
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                door.endAll();
+                door.closeRemaining();
             });
             assertTrue(isIn.await(5, TimeUnit.SECONDS));
             out.write(new byte[50_000]);
--- a/relay/src/test/java/yewpath/DeliveryTest.java
+++ b/relay/src/test/java/yewpath/DeliveryTest.java
@@ -35,7 +35,7 @@
 import yewpath.delivery.Delivery;
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
-import yewpath.operator.Operator;
+import yewpath.operator.OperatorSettings;
 
 /** Calls to endpoints, the list they stand in, and the notices of what was not delivered. */
 public final class DeliveryTest extends Stand.Tests {
@@ -185,7 +185,8 @@
         Stand.Server endpoint = stand.endpoint(1, got -> distinctOk());
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         Loop loop = new Loop(worker.getIoThread());
-        Delivery delivery = new Delivery(loop, new Limits(name -> 0, 1_000_000, 2_000_000, Operator.STANDARD),
+        Delivery delivery = new Delivery(loop,
+            new Limits(name -> 0, 1_000_000, 2_000_000, OperatorSettings.STANDARD),
             List.of(), () -> true);
         AtomicInteger outcomes = new AtomicInteger();
         Call.Attempt cargo = (Call.Attempt) Proxy.newProxyInstance(Call.Attempt.class.getClassLoader(),
--- a/relay/src/test/java/yewpath/OperatorFileTest.java
+++ b/relay/src/test/java/yewpath/OperatorFileTest.java
@@ -9,37 +9,37 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
 import yewpath.configuration.Key;
-import yewpath.configuration.Type;
+import yewpath.configuration.ValueType;
 import yewpath.events.Event;
-import yewpath.operator.Catalogue;
-import yewpath.operator.Operator;
 import yewpath.operator.OperatorFile;
+import yewpath.operator.OperatorKeys;
+import yewpath.operator.OperatorSettings;
 import yewpath.operator.Reference;
 
 /** What the operator's file may say, and what is said of one with faults. */
 public final class OperatorFileTest {
-    private static Operator read(String text) throws Faults {
+    private static OperatorSettings read(String text) throws ConfigurationException {
         return OperatorFile.parse("y.toml", text);
     }
 
     private static List<String> faults(String text) {
-        return expectThrows(Faults.class, () -> read(text)).lines();
+        return expectThrows(ConfigurationException.class, () -> read(text)).errorLines();
     }
 
     @Test
-    public void valuesAreReadWithTheirUnitsAndTellWhereTheyStand() throws Faults {
-        Operator o = read(
+    public void valuesAreReadWithTheirUnitsAndTellWhereTheyStand() throws ConfigurationException {
+        OperatorSettings o = read(
             "[clients]\nrequest_within = \"1.5 s\"\nbody_most = \"1 MiB\"\nbacklog = 7\n[ledger]\nlive_part = 0.3\n");
-        assertEquals(o.figure(Catalogue.CLIENT_REQUEST), 1_500_000);
-        assertEquals(o.figure(Catalogue.CLIENT_BODY), 1 << 20);
-        assertEquals(o.figure(Catalogue.CLIENT_BACKLOG), 7);
-        assertEquals(o.part(Catalogue.LEDGER_LIVE), 0.3);
-        assertEquals(o.origin(Catalogue.CLIENT_BACKLOG), "y.toml:4");
-        assertEquals(o.origin(Catalogue.LEDGER_ANEW), "default");
-        assertEquals(o.origin(Catalogue.CLIENT_LINKS), "derived");
-        assertEquals(o.figureOr(Catalogue.CLIENT_LINKS, 99), 99);
+        assertEquals(o.number(OperatorKeys.CLIENT_REQUEST_TIMEOUT), 1_500_000);
+        assertEquals(o.number(OperatorKeys.CLIENT_MAX_BODY_BYTES), 1 << 20);
+        assertEquals(o.number(OperatorKeys.CLIENT_BACKLOG), 7);
+        assertEquals(o.fraction(OperatorKeys.LEDGER_LIVE_FRACTION), 0.3);
+        assertEquals(o.origin(OperatorKeys.CLIENT_BACKLOG), "y.toml:4");
+        assertEquals(o.origin(OperatorKeys.LEDGER_COMPACTION_FRACTION), "default");
+        assertEquals(o.origin(OperatorKeys.CLIENT_CONNECTIONS), "derived");
+        assertEquals(o.numberOr(OperatorKeys.CLIENT_CONNECTIONS, 99), 99);
     }
 
     @DataProvider
@@ -94,30 +94,30 @@
     }
 
     @Test
-    public void theEdgesOfEachRangeAreTakenAndWhatIsPastThemIsNot() throws Faults {
-        for (Key key : Catalogue.all()) {
-            if (key.type == Type.WORD) {
+    public void theEdgesOfEachRangeAreTakenAndWhatIsPastThemIsNot() throws ConfigurationException {
+        for (Key key : OperatorKeys.all()) {
+            if (key.type == ValueType.CHOICE) {
                 continue;
             }
-            for (double edge : new double[]{key.least, key.most}) {
-                Object inside = key.type == Type.PART ? (Object) edge : (Object) (long) edge;
+            for (double edge : new double[]{key.minimum, key.maximum}) {
+                Object inside = key.type == ValueType.FRACTION ? (Object) edge : (Object) (long) edge;
                 // In its smallest unit, so that no edge is rounded.
                 String written = switch (key.type) {
-                    case SPAN -> "\"" + (long) edge + " us\"";
+                    case DURATION -> "\"" + (long) edge + " us\"";
                     case SIZE -> "\"" + (long) edge + " B\"";
-                    default -> key.type.show(inside);
+                    default -> key.type.format(inside);
                 };
                 String text = "[" + key.table() + "]\n" + key.path.substring(key.path.indexOf('.') + 1)
                     + " = ";
                 try {
                     assertEquals(read(text + written).value(key), inside);
-                } catch (Faults unfit) {
+                } catch (ConfigurationException unfit) {
                     // Taken by itself, though it does not go with another's default.
                     assertTrue(unfit.getMessage().contains(" and "), unfit.getMessage());
                 }
-                double past = edge + (edge == key.least ? -1 : 1);
+                double past = edge + (edge == key.minimum ? -1 : 1);
                 if (past >= 0) {
-                    String wrong = key.type == Type.PART ? String.valueOf(past) : written.replace(
+                    String wrong = key.type == ValueType.FRACTION ? String.valueOf(past) : written.replace(
                         String.valueOf((long) edge), String.valueOf((long) past));
                     assertTrue(faults(text + wrong).get(0).contains("should be from"), key.path);
                 }
@@ -126,34 +126,37 @@
     }
 
     @Test
-    public void whatIsShownAsInForceReadsBackTheSame() throws Faults {
-        Operator first = read(
+    public void whatIsShownAsInForceReadsBackTheSame() throws ConfigurationException {
+        OperatorSettings first = read(
             "[clients]\nrequest_within = \"1.234 s\"\nlinger_most = \"3000 B\"\nconnections = 12\n[log]\nform = \"json\"");
-        Operator again = read(Reference.effective(first));
-        for (Key key : Catalogue.all()) {
+        OperatorSettings again = read(Reference.effective(first));
+        for (Key key : OperatorKeys.all()) {
             assertEquals(again.value(key), first.value(key), key.path);
         }
         assertTrue(Reference.effective(first).contains("connections = 12   # y.toml:4"));
-        assertEquals(Operator.STANDARD.changes(first, true),
+        assertEquals(OperatorSettings.STANDARD.changedKeys(first, true),
             List.of("clients.request_within", "clients.linger_most",
                 "log.form"));
-        assertEquals(Operator.STANDARD.changes(first, false), List.of("clients.connections"));
+        assertEquals(OperatorSettings.STANDARD.changedKeys(first, false), List.of("clients.connections"));
     }
 
     @Test
     public void theFileInDeployHasNoFaultAndSetsNothingAside() throws Exception {
-        Operator deployed = OperatorFile.read("../deploy/yewpath.toml");
-        assertEquals(Operator.STANDARD.changes(deployed, true), List.of());
-        assertEquals(Operator.STANDARD.changes(deployed, false), List.of());
+        OperatorSettings deployed = OperatorFile.read("../deploy/yewpath.toml");
+        assertEquals(OperatorSettings.STANDARD.changedKeys(deployed, true), List.of());
+        assertEquals(OperatorSettings.STANDARD.changedKeys(deployed, false), List.of());
     }
 
     @Test
     public void unreadableFilesAreToldAsSuch() throws Exception {
-        assertEquals(expectThrows(Faults.class, () -> OperatorFile.read("/nowhere/y.toml")).lines(),
+        assertEquals(
+            expectThrows(ConfigurationException.class, () -> OperatorFile.read("/nowhere/y.toml"))
+                .errorLines(),
             List.of("/nowhere/y.toml: no such file"));
         Path bytes = Files.write(Files.createTempFile("y", ".toml"), new byte[]{'a', (byte) 0xff, '=', '1'});
-        assertTrue(expectThrows(Faults.class, () -> OperatorFile.read(bytes.toString())).getMessage()
-            .contains("not UTF-8"));
+        assertTrue(
+            expectThrows(ConfigurationException.class, () -> OperatorFile.read(bytes.toString())).getMessage()
+                .contains("not UTF-8"));
         Files.delete(bytes);
     }
 
--- a/relay/src/test/java/yewpath/events/EventsTest.java
+++ b/relay/src/test/java/yewpath/events/EventsTest.java
@@ -25,7 +25,8 @@
     public void whatComesFromOutsideStaysOneLineOfReadableJson() throws IOException {
         String bad = "a\"b\\c\n\r\u0000\u001b[2J\u007f\u0085\u2028\ud800x\u00e9";
         for (boolean json : new boolean[]{true, false}) {
-            String line = Line.of(json, Instant.EPOCH, Level.INFO, "envelope.taken", Line.fields(ONE, bad));
+            String line = LineFormat.of(json, Instant.EPOCH, Level.INFO, "envelope.taken",
+                LineFormat.fields(ONE, bad));
             assertEquals(line.indexOf('\n'), line.length() - 1, line);
             assertTrue(line.chars().allMatch(c -> c == '\n' || c >= ' ' && c < 127), line);
             try (JsonParser at = new JsonFactory().createParser(line.substring(line.indexOf('{')))) {
@@ -40,18 +41,18 @@
 
     @Test
     public void longTextsAreCut() {
-        assertTrue(Line.fields(ONE, "x".repeat(100_000)).length() < 300);
+        assertTrue(LineFormat.fields(ONE, "x".repeat(100_000)).length() < 300);
     }
 
     @Test
     public void aFloodIsCountedAndSummedUpAndOtherEventsGoOn() {
-        Flood flood = new Flood();
+        EventRateLimiter flood = new EventRateLimiter();
         int written = 0;
         for (int i = 0; i < 1000; i++) {
             written += flood.admits(Event.CLIENT_EVICTED, 20, 1_000_000L * i / 2) ? 1 : 0;
         }
         assertEquals(written, 20);
-        assertTrue(flood.admits(Event.ENDPOINT_SICK, 20, 500_000_000L));
+        assertTrue(flood.admits(Event.ENDPOINT_UNHEALTHY, 20, 500_000_000L));
         List<String> told = new ArrayList<>();
         flood.sums(900_000_000L, false, (event, count) -> told.add(event.label + " " + count));
         assertEquals(told, List.of(), "its second is not over");
--- a/relay/src/test/java/yewpath/json/ValuesTest.java
+++ b/relay/src/test/java/yewpath/json/ValuesTest.java
@@ -20,11 +20,11 @@
         "{\"\u00e4\":null}", "");
 
     private final List<String> heard = new ArrayList<>();
-    private Values values;
+    private JsonObjectSplitter values;
 
     private void begin() {
         heard.clear();
-        values = new Values(bytes -> heard.add(new String(bytes, StandardCharsets.UTF_8)),
+        values = new JsonObjectSplitter(bytes -> heard.add(new String(bytes, StandardCharsets.UTF_8)),
             () -> heard.add(""));
     }
 
@@ -42,7 +42,7 @@
                 feed(text, first, second);
                 feed(text, second, text.length);
                 assertEquals(heard, CUT, "cut at " + first + " and " + second);
-                assertFalse(values.isInside());
+                assertFalse(values.isIncomplete());
             }
         }
     }
@@ -66,7 +66,7 @@
         begin();
         byte[] more = " ".repeat(100).getBytes(StandardCharsets.UTF_8);
         feed("{\"a\":".getBytes(StandardCharsets.UTF_8), 0, 5);
-        assertTrue(values.isInside());
+        assertTrue(values.isIncomplete());
         expectThrows(IllegalArgumentException.class, () -> {
             for (int i = 0; i < 20; i++) {
                 feed(more, 0, more.length);
