--- a/configuration/src/main/java/yewpath/configuration/ConfigurationException.java
+++ b/configuration/src/main/java/yewpath/configuration/ConfigurationException.java
@@ -3,17 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is wrong with a file: a line for each fault, with file, line and path. */
+/**
+ * Thrown for an invalid configuration file. Lists every error that was found, with file name, line and key.
+ */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
-    private final ArrayList<String> lines;
+    private final ArrayList<String> errorLines;
 
-    public ConfigurationException(List<String> lines) {
-        super(String.join("\n", lines), null, false, false);
-        this.lines = new ArrayList<>(lines);
+    /** Creates an exception whose message is all {@code errorLines}, joined by line feeds. */
+    public ConfigurationException(List<String> errorLines) {
+        super(String.join("\n", errorLines), null, false, false);
+        this.errorLines = new ArrayList<>(errorLines);
     }
 
+    /** Returns one line of text for each error, ordered by line number. */
     public List<String> errorLines() {
-        return List.copyOf(lines);
+        return List.copyOf(errorLines);
     }
 }
--- a/configuration/src/main/java/yewpath/configuration/FileSchema.java
+++ b/configuration/src/main/java/yewpath/configuration/FileSchema.java
@@ -4,22 +4,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a file may hold: keys by path, lists of tables by name, and tables whose keys are free. */
+/**
+ * The content that a configuration file may have: keys, tables, arrays of tables and one table with free
+ * keys.
+ */
 public final class FileSchema {
     final Map<String, Key> keys = new LinkedHashMap<>();
     final Map<String, String> tables;
-    final Map<String, List<Key>> lists;
-    final String free;
+    final Map<String, List<Key>> tableArrays;
+    final String freeTable;
 
     /**
-     * {@code tables} are names with what they are for. {@code lists} name tables that may stand several times
-     * ([[name]]), whose keys have paths without the name. {@code free} is the table whose keys are numbers or lists of
-     * numbers under any name; null for none.
+     * Creates a schema.
+     *
+     * @param keys the keys of single tables
+     * @param tables the name of each table, with a description
+     * @param tableArrays the keys of each table that may occur several times ([[name]]); their paths omit
+     *     the name
+     * @param freeTable the table whose keys may have any name and hold numbers or lists of numbers; null
+     *     for none
      */
-    public FileSchema(List<Key> keys, Map<String, String> tables, Map<String, List<Key>> lists, String free) {
+    public FileSchema(List<Key> keys, Map<String, String> tables, Map<String, List<Key>> tableArrays,
+        String freeTable) {
         keys.forEach(key -> this.keys.put(key.path, key));
         this.tables = tables;
-        this.lists = lists;
-        this.free = free;
+        this.tableArrays = tableArrays;
+        this.freeTable = freeTable;
     }
 }
--- a/configuration/src/main/java/yewpath/configuration/Key.java
+++ b/configuration/src/main/java/yewpath/configuration/Key.java
@@ -2,13 +2,17 @@
 
 import java.util.List;
 
-/** A setting that a configuration file may contain: its path, type, default, allowed values and description. */
+/**
+ * A setting that a configuration file may contain, with its type, default, allowed values and description.
+ */
 public final class Key {
     /** Dotted path in the file, such as {@code clients.backlog}. */
     public final String path;
     /** Type of the value, which also decides its unit in memory. */
     public final ValueType type;
-    /** Default in the in-memory unit; null if it is derived from other values, which the description names. */
+    /**
+     * Default in the in-memory unit; null if it is derived from other values, which the description names.
+     */
     public final Object defaultValue;
     /** Smallest allowed number, in the in-memory unit. */
     public final double minimum;
--- a/configuration/src/main/java/yewpath/configuration/TomlFile.java
+++ b/configuration/src/main/java/yewpath/configuration/TomlFile.java
@@ -17,44 +17,50 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** Reads a file of settings (TOML 1.0) and finds every fault in it at once. */
+/** Parses a TOML 1.0 configuration file, validates it against a schema and reports all errors together. */
 public final class TomlFile {
-    /** Checks of what must fit together, asked once each value is right by itself. */
+    /** Checks conditions that involve several keys. Called only if each value by itself is valid. */
     public interface CrossCheck {
-        /** {@code fault} takes the line, 0 for none, and what is wrong. */
-        void check(SettingValues all, ErrorReporter fault);
+        /** Reports each violated condition to {@code errors}. */
+        void check(SettingValues values, ErrorReporter errors);
     }
 
-    /** Where a fault is told. */
+    /** Receives the errors of a file. */
     public interface ErrorReporter {
-        void report(int line, String what);
+        /** Adds an error; {@code line} is 0 if the error belongs to no single line. */
+        void report(int line, String message);
     }
 
-    /** Past this it is no file of settings; guards against reading a device or a dump into a small heap. */
-    private static final long MOST = 1 << 20;
+    /** Larger files are refused: reading a device or a dump would exhaust a small heap. */
+    private static final long MAX_FILE_BYTES = 1 << 20;
 
-    private record Told(int line, String text) {}
+    private record FileError(int line, String message) {}
 
-    private final FileSchema shape;
-    private final String name;
-    private final List<Told> faults = new ArrayList<>();
+    private final FileSchema schema;
+    private final String fileName;
+    private final List<FileError> errors = new ArrayList<>();
     private final SettingValues values = new SettingValues();
 
-    private TomlFile(FileSchema shape, String name) {
-        this.shape = shape;
-        this.name = name;
+    private TomlFile(FileSchema schema, String fileName) {
+        this.schema = schema;
+        this.fileName = fileName;
     }
 
-    /** Reads a file and checks it against its shape; all faults are reported at once. */
-    public static SettingValues read(String path, FileSchema shape, CrossCheck together)
+    /**
+     * Reads and validates a file.
+     *
+     * @throws ConfigurationException if the file can't be read or contains errors; holds all of them
+     */
+    public static SettingValues read(String path, FileSchema schema, CrossCheck crossCheck)
         throws ConfigurationException {
         try {
-            Path at = Path.of(path);
-            if (Files.size(at) > MOST) {
+            Path file = Path.of(path);
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new ConfigurationException(
-                    List.of(path + ": over " + MOST + " bytes, so no file of settings"));
+                    List.of(path + ": larger than " + MAX_FILE_BYTES
+                        + " bytes, the limit of a configuration file"));
             }
-            return parse(path, Files.readString(at), shape, together);
+            return parse(path, Files.readString(file), schema, crossCheck);
         } catch (NoSuchFileException e) {
             throw new ConfigurationException(List.of(path + ": no such file"));
         } catch (CharacterCodingException e) {
@@ -64,142 +70,158 @@
         }
     }
 
-    /** The same of a text that stands in no file; {@code name} is what faults call it. */
-    public static SettingValues parse(String name, String text, FileSchema shape, CrossCheck together)
+    /**
+     * Validates the text of a file.
+     *
+     * @param fileName the file name that error messages show
+     * @throws ConfigurationException if the text contains errors; holds all of them
+     */
+    public static SettingValues parse(String fileName, String text, FileSchema schema, CrossCheck crossCheck)
         throws ConfigurationException {
-        return new TomlFile(shape, name).read(Toml.parse(text), together);
+        return new TomlFile(schema, fileName).validate(Toml.parse(text), crossCheck);
     }
 
-    private SettingValues read(TomlParseResult toml, CrossCheck together) throws ConfigurationException {
-        toml.errors().forEach(error -> fault(error.position(), error.getMessage()));
-        if (faults.isEmpty()) {
-            // Of a text that can't be parsed only pieces are there: what they lack would be told as faults too.
-            table(toml, "", new HashSet<>());
+    private SettingValues validate(TomlParseResult toml, CrossCheck crossCheck)
+        throws ConfigurationException {
+        toml.errors().forEach(error -> addError(error.position(), error.getMessage()));
+        if (errors.isEmpty()) {
+            // A text with syntax errors is parsed only in part; its missing parts would be reported as more
+            // errors.
+            readTable(toml, "", new HashSet<>());
         }
-        if (faults.isEmpty()) {
-            together.check(values, this::fault);
+        if (errors.isEmpty()) {
+            crossCheck.check(values, this::addError);
         }
-        if (!faults.isEmpty()) {
-            faults.sort(Comparator.comparingInt(Told::line));
-            throw new ConfigurationException(faults.stream().map(Told::text).toList());
+        if (!errors.isEmpty()) {
+            errors.sort(Comparator.comparingInt(FileError::line));
+            throw new ConfigurationException(errors.stream().map(FileError::message).toList());
         }
         return values;
     }
 
-    private void fault(TomlPosition at, String text) {
-        fault(at == null ? 0 : at.line(), text);
-    }
-
-    private void fault(int line, String text) {
-        faults.add(new Told(line, name + (line > 0 ? ":" + line : "") + ": " + text));
-    }
-
-    private void table(TomlTable table, String above, Set<String> seen) {
-        for (String key : table.keySet()) {
-            String path = above.isEmpty() ? key : above + '.' + key;
-            List<String> single = List.of(key);
-            TomlPosition at = table.inputPositionOf(single);
-            Object value = table.get(single);
-            Key known = shape.keys.get(path);
-            if (known != null) {
-                entry(known, "", value, at, values);
-            } else if (shape.lists.containsKey(path)) {
-                list(path, value, at);
-            } else if (path.equals(shape.free) && value instanceof TomlTable inner) {
-                free(inner, path);
-            } else if (value instanceof TomlTable inner && shape.tables.containsKey(path)) {
-                table(inner, path, seen);
-            } else if (seen.add(path)) {
-                unknown(path, value instanceof TomlTable, at,
-                    value instanceof TomlTable ? shape.tables.keySet() : shape.keys.keySet());
+    private void addError(TomlPosition position, String message) {
+        addError(position == null ? 0 : position.line(), message);
+    }
+
+    private void addError(int line, String message) {
+        errors.add(new FileError(line, fileName + (line > 0 ? ":" + line : "") + ": " + message));
+    }
+
+    private void readTable(TomlTable table, String parentPath, Set<String> reportedPaths) {
+        for (String name : table.keySet()) {
+            String path = parentPath.isEmpty() ? name : parentPath + '.' + name;
+            List<String> tomlPath = List.of(name);
+            TomlPosition position = table.inputPositionOf(tomlPath);
+            Object value = table.get(tomlPath);
+            Key key = schema.keys.get(path);
+            if (key != null) {
+                readValue(key, "", value, position, values);
+            } else if (schema.tableArrays.containsKey(path)) {
+                readTableArray(path, value, position);
+            } else if (path.equals(schema.freeTable) && value instanceof TomlTable freeTable) {
+                readFreeTable(freeTable, path);
+            } else if (value instanceof TomlTable childTable && schema.tables.containsKey(path)) {
+                readTable(childTable, path, reportedPaths);
+            } else if (reportedPaths.add(path)) {
+                addUnknownNameError(path, value instanceof TomlTable, position,
+                    value instanceof TomlTable ? schema.tables.keySet() : schema.keys.keySet());
             }
         }
     }
 
-    private void entry(Key key, String above, Object value, TomlPosition at, SettingValues into) {
+    private void readValue(Key key, String pathPrefix, Object value, TomlPosition position,
+        SettingValues target) {
         try {
-            into.put(key, key.parse(value), name + ":" + at.line());
-        } catch (IllegalArgumentException unfit) {
-            fault(at, above + key.path + " " + unfit.getMessage() + "; it is " + shown(value));
+            target.put(key, key.parse(value), fileName + ":" + position.line());
+        } catch (IllegalArgumentException invalid) {
+            addError(position,
+                pathPrefix + key.path + " " + invalid.getMessage() + "; it is " + display(value));
         }
     }
 
-    private void list(String path, Object value, TomlPosition at) {
+    private void readTableArray(String path, Object value, TomlPosition position) {
         if (!(value instanceof TomlArray array)
             || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            fault(at, path + " should be tables, each headed by [[" + path + "]]; it is " + shown(value));
+            addError(position,
+                path + " should be tables, each headed by [[" + path + "]]; it is " + display(value));
             return;
         }
-        List<SettingValues> all = new ArrayList<>();
-        values.lists.put(path, all);
+        List<SettingValues> tables = new ArrayList<>();
+        values.tableArrays.put(path, tables);
         for (int i = 0; i < array.size(); i++) {
-            TomlTable one = array.getTable(i);
-            SettingValues into = new SettingValues();
-            all.add(into);
-            for (String key : one.keySet()) {
-                TomlPosition place = one.inputPositionOf(List.of(key));
-                Key known = shape.lists.get(path).stream().filter(k -> k.path.equals(key)).findFirst()
+            TomlTable table = array.getTable(i);
+            SettingValues tableValues = new SettingValues();
+            tables.add(tableValues);
+            for (String name : table.keySet()) {
+                TomlPosition keyPosition = table.inputPositionOf(List.of(name));
+                Key key = schema.tableArrays.get(path).stream().filter(known -> known.path.equals(name))
+                    .findFirst()
                     .orElse(null);
-                if (known != null) {
-                    entry(known, path + ".", one.get(List.of(key)), place, into);
+                if (key != null) {
+                    readValue(key, path + ".", table.get(List.of(name)), keyPosition, tableValues);
                 } else {
-                    unknown(path + "." + key, false, place,
-                        shape.lists.get(path).stream().map(k -> path + "." + k.path).toList());
+                    addUnknownNameError(path + "." + name, false, keyPosition,
+                        schema.tableArrays.get(path).stream().map(known -> path + "." + known.path).toList());
                 }
             }
-            for (Key needed : shape.lists.get(path)) {
-                if (needed.defaultValue == null && !into.isSet(needed)
-                    && one.get(List.of(needed.path)) == null) {
-                    fault(array.inputPositionOf(i),
-                        path + "." + needed.path + " is missing: " + needed.description);
+            for (Key required : schema.tableArrays.get(path)) {
+                if (required.defaultValue == null && !tableValues.isSet(required)
+                    && table.get(List.of(required.path)) == null) {
+                    addError(array.inputPositionOf(i),
+                        path + "." + required.path + " is missing: " + required.description);
                 }
             }
         }
     }
 
-    private void free(TomlTable table, String above) {
-        for (String key : table.dottedKeySet()) {
-            Object value = table.get(key);
-            List<Object> all = value instanceof TomlArray array ? array.toList() : List.of(value);
-            if (all.isEmpty() || !all.stream().allMatch(Number.class::isInstance)) {
-                fault(table.inputPositionOf(key),
-                    above + "." + key + " should be a number or a list of numbers; it is " + shown(value));
+    private void readFreeTable(TomlTable table, String tablePath) {
+        for (String name : table.dottedKeySet()) {
+            Object value = table.get(name);
+            List<Object> elements = value instanceof TomlArray array ? array.toList() : List.of(value);
+            if (elements.isEmpty() || !elements.stream().allMatch(Number.class::isInstance)) {
+                addError(table.inputPositionOf(name),
+                    tablePath + "." + name + " should be a number or a list of numbers; it is "
+                        + display(value));
             } else {
-                values.free.put(key.replace("\"", ""),
-                    all.stream().map(one -> ((Number) one).doubleValue()).toList());
+                values.freeNumbers.put(name.replace("\"", ""),
+                    elements.stream().map(element -> ((Number) element).doubleValue()).toList());
             }
         }
     }
 
-    private static String shown(Object value) {
+    /**
+     * Describes a value in at most 63 characters, without control characters that would affect a terminal.
+     */
+    private static String display(Object value) {
         String text = value instanceof TomlTable ? "a table" : value instanceof TomlArray ? "a list"
-            : value instanceof String word ? '"' + word + '"' : String.valueOf(value);
-        // The file may hold anything; what is told of it is a line on a terminal.
+            : value instanceof String string ? '"' + string + '"' : String.valueOf(value);
         text = text.replaceAll("\\p{Cntrl}", "?");
         return text.length() > 60 ? text.substring(0, 60) + "..." : text;
     }
 
-    private void unknown(String path, boolean table, TomlPosition at, Iterable<String> names) {
+    private void addUnknownNameError(String path, boolean isTable, TomlPosition position,
+        Iterable<String> knownPaths) {
         String nearest = null;
-        int least = Integer.MAX_VALUE;
-        for (String name : names) {
-            // A key under the wrong table is as near as one with a letter missing.
-            int far = Math.min(distance(path, name), 2 + distance(last(path), last(name)));
-            if (far < least) {
-                least = far;
-                nearest = name;
+        int smallestDistance = Integer.MAX_VALUE;
+        for (String knownPath : knownPaths) {
+            // A key in the wrong table counts as two edits, about as near as a misspelled key.
+            int distance = Math.min(editDistance(path, knownPath),
+                2 + editDistance(lastSegment(path), lastSegment(knownPath)));
+            if (distance < smallestDistance) {
+                smallestDistance = distance;
+                nearest = knownPath;
             }
         }
-        fault(at, "unknown " + (table ? "table " : "key ") + shown(path).replace("\"", "")
-            + (nearest != null && least <= Math.max(2, path.length() / 2)
+        addError(position, "unknown " + (isTable ? "table " : "key ") + display(path).replace("\"", "")
+            + (nearest != null && smallestDistance <= Math.max(2, path.length() / 2)
                 ? "; the nearest known is " + nearest : ""));
     }
 
-    private static int distance(String one, String other) {
-        return LevenshteinDistance.getDefaultInstance().apply(one, other);
+    private static int editDistance(String left, String right) {
+        return LevenshteinDistance.getDefaultInstance().apply(left, right);
     }
 
-    private static String last(String path) {
+    private static String lastSegment(String path) {
         return path.substring(path.lastIndexOf('.') + 1);
     }
 }
--- a/configuration/src/main/java/yewpath/configuration/ValueType.java
+++ b/configuration/src/main/java/yewpath/configuration/ValueType.java
@@ -7,60 +7,72 @@
 import java.util.Map;
 import org.tomlj.TomlArray;
 
-/** How a value is written in the file, what it is inside the relay, and how it is shown again. */
+/** The type of a setting: its form in the file and its type and unit in memory. */
 public enum ValueType {
-    /** A whole number: Long. */
+    /** A whole number; Long in memory. */
     COUNT("a whole number such as 64"),
-    /** A time: Long, in microseconds; in the file a text with a unit, since a bare number can be mistaken. */
+    /**
+     * A duration; Long in microseconds in memory. The file requires a unit, since a bare number is ambiguous.
+     */
     DURATION("a time with its unit such as \"250 ms\" (us, ms, s, min, h)"),
-    /** A size: Long, in bytes. */
+    /** A size; Long in bytes in memory. */
     SIZE("a size with its unit such as \"64 KiB\" (B, KiB, MiB, GiB)"),
-    /** A part of something: Double. */
+    /** A fraction or another number with decimals; Double in memory. */
     FRACTION("a number such as 0.4"),
-    /** One of a few words: String. */
-    CHOICE("one of the words named"),
-    /** Any text: String. */
-    STRING("a text in quotes"),
-    /** Yes or no: Boolean. */
+    /** One of a fixed set of words; String in memory. */
+    CHOICE("one of the words allowed for this key"),
+    /** Any string; String in memory. */
+    STRING("a string in quotes"),
+    /** True or false; Boolean in memory. */
     BOOLEAN("true or false"),
-    /** Texts: a list of String. */
-    STRING_LIST("a list of texts such as [\"a\", \"b\"]");
+    /** A list of strings; List of String in memory. */
+    STRING_LIST("a list of strings such as [\"a\", \"b\"]");
 
-    private static final Map<String, Long> SPANS = units("us", 1L, "ms", 1_000L, "s", 1_000_000L, "min",
+    private static final Map<String, Long> MICROSECONDS_BY_UNIT = units("us", 1L, "ms", 1_000L, "s",
+        1_000_000L,
+        "min",
         60_000_000L,
         "h", 3_600_000_000L);
-    private static final Map<String, Long> SIZES = units("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB",
+    private static final Map<String, Long> BYTES_BY_UNIT = units("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20,
+        "GiB",
         1L << 30);
 
-    /** Said where a value is not written so. */
+    /** The form that a value must have, for error messages. */
     public final String expectedForm;
 
     ValueType(String expectedForm) {
         this.expectedForm = expectedForm;
     }
 
-    private static Map<String, Long> units(Object... pairs) {
+    private static Map<String, Long> units(Object... namesAndFactors) {
         Map<String, Long> units = new LinkedHashMap<>();
-        for (int i = 0; i < pairs.length; i += 2) {
-            units.put((String) pairs[i], (Long) pairs[i + 1]);
+        for (int i = 0; i < namesAndFactors.length; i += 2) {
+            units.put((String) namesAndFactors[i], (Long) namesAndFactors[i + 1]);
         }
         return units;
     }
 
-    /** The value inside; throws IllegalArgumentException, with what would be right, for any other kind of value. */
-    public Object parse(Object written) {
+    /**
+     * Converts a value of the file to its in-memory form.
+     *
+     * @throws IllegalArgumentException if it does not have the form of this type; the message says what
+     *     is expected
+     */
+    public Object parse(Object fileValue) {
         Object value = switch (this) {
-            case COUNT -> written instanceof Long ? written : null;
-            case FRACTION -> written instanceof Long whole ? (Object) whole.doubleValue()
-                : written instanceof Double ? written
+            case COUNT -> fileValue instanceof Long ? fileValue : null;
+            case FRACTION -> fileValue instanceof Long whole ? (Object) whole.doubleValue()
+                : fileValue instanceof Double ? fileValue
                     : null;
-            case CHOICE, STRING -> written instanceof String ? written : null;
-            case BOOLEAN -> written instanceof Boolean ? written : null;
+            case CHOICE, STRING -> fileValue instanceof String ? fileValue : null;
+            case BOOLEAN -> fileValue instanceof Boolean ? fileValue : null;
             case STRING_LIST ->
-                written instanceof TomlArray list && list.toList().stream().allMatch(String.class::isInstance)
-                    ? List.copyOf(list.toList()) : null;
-            case DURATION -> written instanceof String text ? measure(text, SPANS) : null;
-            case SIZE -> written instanceof String text ? measure(text, SIZES) : null;
+                fileValue instanceof TomlArray list
+                    && list.toList().stream().allMatch(String.class::isInstance)
+                        ? List.copyOf(list.toList()) : null;
+            case DURATION ->
+                fileValue instanceof String text ? parseWithUnit(text, MICROSECONDS_BY_UNIT) : null;
+            case SIZE -> fileValue instanceof String text ? parseWithUnit(text, BYTES_BY_UNIT) : null;
         };
         if (value == null) {
             throw new IllegalArgumentException("should be " + expectedForm);
@@ -68,36 +80,39 @@
         return value;
     }
 
-    private static Long measure(String text, Map<String, Long> units) {
+    /**
+     * Returns the number in the smallest unit; null if the text is not a number followed by one of the units.
+     */
+    private static Long parseWithUnit(String text, Map<String, Long> units) {
         String[] parts = text.strip().split("(?<=[0-9])\\s*(?=[A-Za-z])", 2);
-        Long unit = parts.length == 2 ? units.get(parts[1]) : null;
-        if (unit == null || !parts[0].matches("[0-9]{1,12}(\\.[0-9]{1,6})?")) {
+        Long factor = parts.length == 2 ? units.get(parts[1]) : null;
+        if (factor == null || !parts[0].matches("[0-9]{1,12}(\\.[0-9]{1,6})?")) {
             return null;
         }
-        return Math.round(Double.parseDouble(parts[0]) * unit);
+        return Math.round(Double.parseDouble(parts[0]) * factor);
     }
 
-    /** As it would be written in the file. */
+    /** Formats an in-memory value as it is written in a file. */
     public String format(Object value) {
         return switch (this) {
             case COUNT, FRACTION, BOOLEAN, STRING_LIST -> String.valueOf(value);
             case CHOICE, STRING -> '"' + (String) value + '"';
-            case DURATION -> '"' + inUnits((Long) value, SPANS) + '"';
-            case SIZE -> '"' + inUnits((Long) value, SIZES) + '"';
+            case DURATION -> '"' + formatWithUnit((Long) value, MICROSECONDS_BY_UNIT) + '"';
+            case SIZE -> '"' + formatWithUnit((Long) value, BYTES_BY_UNIT) + '"';
         };
     }
 
-    /** In the largest unit that leaves at least 1 and no more than three decimals. */
-    private static String inUnits(long value, Map<String, Long> units) {
-        List<Map.Entry<String, Long>> largestLast = new ArrayList<>(units.entrySet());
-        for (int i = largestLast.size() - 1; i > 0; i--) {
-            long unit = largestLast.get(i).getValue();
-            if (value >= unit && value * 10 % unit == 0) {
-                return String.format(Locale.ROOT, value % unit == 0 ? "%.0f %s" : "%.1f %s",
-                    value / (double) unit,
-                    largestLast.get(i).getKey());
+    /** Formats in the largest unit in which the value is at least 1 and has at most one decimal. */
+    private static String formatWithUnit(long value, Map<String, Long> units) {
+        List<Map.Entry<String, Long>> ascendingUnits = new ArrayList<>(units.entrySet());
+        for (int i = ascendingUnits.size() - 1; i > 0; i--) {
+            long factor = ascendingUnits.get(i).getValue();
+            if (value >= factor && value * 10 % factor == 0) {
+                return String.format(Locale.ROOT, value % factor == 0 ? "%.0f %s" : "%.1f %s",
+                    value / (double) factor,
+                    ascendingUnits.get(i).getKey());
             }
         }
-        return value + " " + largestLast.get(0).getKey();
+        return value + " " + ascendingUnits.get(0).getKey();
     }
 }
--- a/configuration/src/main/java/yewpath/configuration/package-info.java
+++ b/configuration/src/main/java/yewpath/configuration/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Files of settings in TOML: keys with type, unit, range and default; every fault of a file at once, with file, line and
- * path. Knows neither the relay nor the lab, whose catalogues say which keys there are.
+ * Reads configuration files in TOML. Each key has a type with a unit, a range and a default, and all errors
+ * of a file are reported together, each with file, line and key. The programs that use this package define
+ * which keys exist.
  */
 package yewpath.configuration;
