--- a/relay/src/main/java/yewpath/events/Event.java
+++ b/relay/src/main/java/yewpath/events/Event.java
@@ -3,205 +3,148 @@
 import java.util.Locale;
 import org.tinylog.Level;
 
-/** All that is ever written, by stable name; docs/events.md is made from here. */
+/**
+ * Every event that the relay logs. Names, levels and fields are stable, since operators' tools read them;
+ * docs/events.md is generated from this list.
+ */
 public enum Event {
-    RELAY_STARTED("relay.started", Level.INFO, "It takes envelopes from now on.", "name", "at", "restored",
-        "operator_file"),
+    RELAY_STARTED("relay.started", Level.INFO,
+        "The relay accepts messages from now on.",
+        "name", "at", "restored", "operator_file"),
     RELAY_RELOADED("relay.reloaded", Level.INFO,
-        "A new configuration is in force; what waits for a restart is named.",
+        "A new configuration is in use; waits_for_restart lists the changed keys that need a restart.",
         "discovery", "changed", "waits_for_restart"),
-    RELAY_RELOAD_REFUSED("relay.reload_refused",
-        Level.ERROR,
-        "The new configuration has a fault: all of the old one stays in force.",
+    RELAY_RELOAD_REFUSED("relay.reload_refused", Level.ERROR,
+        "The new configuration has errors; the old one stays in use completely.",
         "fault"),
-    RELAY_CLOSING("relay.closing", Level.INFO, "It was asked to end.", "open",
-        "calls_out"),
+    RELAY_CLOSING("relay.closing", Level.INFO,
+        "The relay was asked to shut down.",
+        "open", "calls_out"),
     RELAY_CLOSED("relay.closed", Level.INFO,
-        "Its last word; what is open stays in the ledger.", "open",
-        "calls_out"),
+        "The last event before the process exits; open messages stay in the ledger.",
+        "open", "calls_out"),
     RELAY_ERROR("relay.fault", Level.ERROR,
-        "An event or act of one envelope or connection failed; the others go on.",
+        "Handling one message or connection failed with an exception; the others are not affected.",
         "exception"),
     CLIENT_ACCEPT_FAILED("client.accept_failed", Level.WARN,
-        "A connection could not be accepted.",
+        "A client's connection could not be accepted.",
         "why"),
     CLIENT_REFUSED("client.refused", Level.DEBUG,
-        "A request that cannot be an envelope was answered with an error.",
+        "A request that is not a valid message was answered with an error status.",
         "status"),
     CLIENT_EVICTED("client.evicted", Level.INFO,
-        "All room for clients is taken: the one missed least was closed.",
+        "The limit of client connections is reached: the least needed connection was closed.",
         "quiet_ms", "connections"),
-    CLIENT_CLOSED(
-        "client.closed",
-        Level.DEBUG,
-        "A client's connection is closed; request_open where its request had no answer yet.",
-        "why",
-        "request_open"),
-    MESSAGE_ACCEPTED("envelope.taken",
-        Level.DEBUG, "Taken on: its end is owed from now on.", "id",
-        "offering", "tenant",
-        "destination", "within_ms",
-        "bytes"),
+    CLIENT_CLOSED("client.closed", Level.DEBUG,
+        "A client's connection is closed; request_open tells whether a request was still unanswered.",
+        "why", "request_open"),
+    MESSAGE_ACCEPTED("envelope.taken", Level.DEBUG,
+        "The message was accepted: the relay owes its outcome from now on.",
+        "id", "offering", "tenant", "destination", "within_ms", "bytes"),
     MESSAGE_RESTORED("envelope.restored", Level.DEBUG,
-        "Read from the ledger at the start.", "id", "shots",
-        "in_doubt"),
+        "The message was read from the ledger at the start.",
+        "id", "shots", "in_doubt"),
     MESSAGE_REFUSED("envelope.refused", Level.DEBUG,
-        "Not taken on; why is closing, disk (the folder fails), hold, ledger (its part of the disk is full) or unlisted (no list names its destination).",
+        "The message was not accepted; why is closing (shutdown), disk (the state folder can't be "
+            + "written), hold (too many open messages), ledger (no space left for live messages) or "
+            + "unlisted (no endpoint list contains its destination).",
         "id", "why"),
     ATTEMPT_STARTED("envelope.shot", Level.DEBUG,
-        "Its first byte leaves for an endpoint.", "id",
-        "shot", "endpoint"),
-    ATTEMPT_FAILED("envelope.back",
-        Level.DEBUG,
-        "A shot has ended without delivering it.", "id",
-        "shot", "endpoint", "outcome",
-        "elapsed_ms", "wait_ms"),
-    MESSAGE_DELIVERED(
-        "envelope.fulfilled", Level.DEBUG,
-        "Delivered, or said by the endpoint to be over.",
-        "id", "shot",
-        "endpoint",
-        "elapsed_ms"),
-    MESSAGE_REJECTED(
-        "envelope.handed_back", Level.DEBUG,
-        "Deferred: it may be handed in again.",
+        "The first byte of an attempt is about to be sent to an endpoint.",
+        "id", "shot", "endpoint"),
+    ATTEMPT_FAILED("envelope.back", Level.DEBUG,
+        "An attempt ended without delivering the message.",
+        "id", "shot", "endpoint", "outcome", "elapsed_ms", "wait_ms"),
+    MESSAGE_DELIVERED("envelope.fulfilled", Level.DEBUG,
+        "The message was delivered, or the endpoint reported it as finished.",
+        "id", "shot", "endpoint", "elapsed_ms"),
+    MESSAGE_REJECTED("envelope.handed_back", Level.DEBUG,
+        "The message was rejected: the client may submit it again.",
         "id", "retry_in_ms"),
-    MESSAGE_FAILED(
-        "envelope.given_up", Level.DEBUG,
-        "Aborted: it may have run, so it must not be repeated.",
+    MESSAGE_FAILED("envelope.given_up", Level.DEBUG,
+        "The message failed: it may have been processed, so it must not be repeated.",
         "id"),
-    MESSAGE_WITHDRAWN(
-        "envelope.withdrawn", Level.DEBUG,
-        "Its client had left before the answer.",
+    MESSAGE_WITHDRAWN("envelope.withdrawn", Level.DEBUG,
+        "The client disconnected before the message was confirmed.",
         "id"),
-    ENDPOINT_UNHEALTHY(
-        "endpoint.sick", Level.INFO,
-        "Only trial shots go there from now on.",
+    ENDPOINT_UNHEALTHY("endpoint.sick", Level.INFO,
+        "The endpoint is unhealthy: it receives only probes from now on.",
         "endpoint"),
-    ENDPOINT_HEALTHY(
-        "endpoint.well",
-        Level.INFO,
-        "It has answered again; shots are ramped.",
+    ENDPOINT_HEALTHY("endpoint.well", Level.INFO,
+        "The endpoint answers again: its load is increased step by step.",
         "endpoint"),
-    ENDPOINT_LISTED(
-        "endpoint.listed",
-        Level.DEBUG,
-        "An entry of the list, new or changed.",
-        "endpoint", "address",
-        "destination",
-        "state"),
-    RESPONSE_STALE(
-        "answer.foreign",
-        Level.WARN,
-        "An answer of an earlier request came while the next one was out; that one still waits for its own.",
-        "address",
-        "status"),
-    RESPONSE_REPEATED(
-        "answer.uncertain",
-        Level.WARN,
-        "An answer equals one that came before on its connection: the request may have run.",
-        "address",
-        "status"),
-    CONNECTION_CLOSED(
-        "connection.closed",
-        Level.DEBUG,
-        "A connection to an endpoint or the platform is closed; request_out where a request had no answer yet.",
-        "address",
-        "why",
-        "request_out"),
-    DIRECTORY_INVALID(
-        "directory.garbled",
-        Level.WARN,
-        "A list that cannot be read is left out; the last one stays.",
+    ENDPOINT_LISTED("endpoint.listed", Level.DEBUG,
+        "Discovery has added or changed an endpoint.",
+        "endpoint", "address", "destination", "state"),
+    RESPONSE_STALE("answer.foreign", Level.WARN,
+        "The response to an earlier request arrived; the current request still waits for its own "
+            + "response.",
+        "address", "status"),
+    RESPONSE_REPEATED("answer.uncertain", Level.WARN,
+        "A response equals an earlier one of the same connection: whether the request was processed "
+            + "is unknown.",
+        "address", "status"),
+    CONNECTION_CLOSED("connection.closed", Level.DEBUG,
+        "A connection to an endpoint or the platform is closed; request_out tells whether a request "
+            + "was still unanswered.",
+        "address", "why", "request_out"),
+    DIRECTORY_INVALID("directory.garbled", Level.WARN,
+        "An endpoint list could not be read and is ignored; the previous list stays in use.",
         "why"),
-    DIRECTORY_WATCH_ENDED(
-        "directory.lost",
-        Level.INFO,
-        "A watch has ended; it is taken up anew.",
+    DIRECTORY_WATCH_ENDED("directory.lost", Level.INFO,
+        "The connection that follows the endpoint list has ended; it is opened again.",
         "again_in_ms"),
-    NOTICE_REFUSED(
-        "notice.refused",
-        Level.ERROR,
-        "The platform does not understand a notice: it is dropped.",
+    NOTICE_REFUSED("notice.refused", Level.ERROR,
+        "The platform rejected a notice as invalid; the notice is dropped.",
         "id"),
-    NOTICE_UNACKNOWLEDGED(
-        "notice.unheard",
-        Level.WARN,
-        "The platform has not answered notices: they go again.",
-        "count",
-        "again_in_ms"),
-    LEDGER_TRUNCATED(
-        "ledger.torn",
-        Level.WARN,
-        "The last life ended in the middle of a write; nothing rested on that record.",
+    NOTICE_UNACKNOWLEDGED("notice.unheard", Level.WARN,
+        "The platform did not acknowledge notices; they are sent again.",
+        "count", "again_in_ms"),
+    LEDGER_TRUNCATED("ledger.torn", Level.WARN,
+        "The previous process ended during a write; the incomplete record is ignored, nothing "
+            + "depended on it.",
         "bytes"),
-    LEDGER_COMPACTED(
-        "ledger.compacted",
-        Level.INFO,
-        "The file was written anew with what is live.",
-        "from_bytes",
-        "to_bytes",
-        "live",
-        "took_ms"),
-    LEDGER_FAILED(
-        "ledger.failed",
-        Level.ERROR,
-        "The lasting folder cannot be written: nothing new is taken on or sent until it can.",
+    LEDGER_COMPACTED("ledger.compacted", Level.INFO,
+        "The ledger was rewritten with the live messages only.",
+        "from_bytes", "to_bytes", "live", "took_ms"),
+    LEDGER_FAILED("ledger.failed", Level.ERROR,
+        "The state folder can't be written: no message is accepted or sent until it can be written "
+            + "again.",
         "exception"),
-    LEDGER_RECOVERED(
-        "ledger.recovered",
-        Level.INFO,
-        "The lasting folder can be written again, and holds all that is live.",
+    LEDGER_RECOVERED("ledger.recovered", Level.INFO,
+        "The state folder can be written again and contains all live messages.",
         "live"),
-    LEDGER_REPLACED(
-        "ledger.replaced",
-        Level.WARN,
-        "Another folder or file lies where the log was: it is written anew.",
+    LEDGER_REPLACED("ledger.replaced", Level.WARN,
+        "The ledger's folder or file was replaced by another one: the ledger is rewritten.",
         "live"),
-    LEDGER_UNREADABLE(
-        "ledger.unreadable",
-        Level.ERROR,
-        "The start waits for the lasting folder to be readable.",
+    LEDGER_UNREADABLE("ledger.unreadable", Level.ERROR,
+        "The start waits until the state folder can be read.",
         "exception"),
-    LEDGER_MOVED_ASIDE(
-        "ledger.set_aside",
-        Level.WARN,
-        "What lay where the log belongs was no file, and is renamed.",
-        "from",
-        "to"),
-    LEDGER_LEFTOVER(
-        "ledger.leftover",
-        Level.WARN,
-        "A file that was not finished could not be removed.",
-        "path",
-        "exception"),
-    LEDGER_RECORD_SKIPPED(
-        "ledger.record_skipped",
-        Level.ERROR,
-        "A whole record means nothing to this program: it is left out.",
-        "type",
-        "exception"),
-    LOG_SUPPRESSED(
-        "log.summed",
-        Level.INFO,
-        "More of one event came than is written: so many lines were left out.",
-        "of",
-        "count"),
-    LOG_DROPPED(
-        "log.dropped",
-        Level.WARN,
-        "Lines found no room in the queue and were dropped.",
+    LEDGER_MOVED_ASIDE("ledger.set_aside", Level.WARN,
+        "The path of the ledger was occupied by something other than a file, which was renamed.",
+        "from", "to"),
+    LEDGER_LEFTOVER("ledger.leftover", Level.WARN,
+        "An incomplete temporary file could not be removed.",
+        "path", "exception"),
+    LEDGER_RECORD_SKIPPED("ledger.record_skipped", Level.ERROR,
+        "A complete record of an unknown form is ignored.",
+        "type", "exception"),
+    LOG_SUPPRESSED("log.summed", Level.INFO,
+        "Lines of one event exceeded the limit per second; count is the number of suppressed lines.",
+        "of", "count"),
+    LOG_DROPPED("log.dropped", Level.WARN,
+        "Lines were dropped because the log queue was full.",
         "count"),
-    LIBRARY(
-        "library",
-        Level.WARN,
-        "Something that a library says.",
-        "message",
-        "exception");
+    LIBRARY("library", Level.WARN,
+        "A log entry of a library.",
+        "message", "exception");
 
+    /** Name of the event in the log. */
     public final String label;
     final Level level;
+    /** One sentence for the reference page. */
     public final String description;
+    /** Names of the fields, in the order of the values that {@link Log#log} takes. */
     final String[] fields;
 
     Event(String label, Level level, String description, String... fields) {
@@ -211,33 +154,37 @@
         this.fields = fields;
     }
 
+    /** Returns the level in lower case. */
     public String levelName() {
         return level.name().toLowerCase(Locale.ROOT);
     }
 
-    /** The page of all events. */
+    /** Returns the reference page of all events, docs/events.md. */
     public static String markdown() {
-        StringBuilder out = new StringBuilder(
+        StringBuilder page = new StringBuilder(
             """
                 # Events
 
-                Made by `bin/yewpath events --markdown`; the list is `yewpath.events.Event`.
+                Generated by `bin/yewpath events --markdown` from `yewpath.events.Event`.
 
-                One line an event, on standard error: as text (`time level event {fields}`) or as one JSON object with `time` (UTC),
-                `level`, `event` and the fields named here. `log.level` and `log.form` in the operator's file choose; both follow SIGHUP.
-                Fields are JSON in both forms: what came from outside can't break a line, since control and non-ASCII characters are
-                escaped, and longer texts than 256 characters are cut. At debug each event in the life of an envelope bears its id.
-                At info and above at most `log.flood_after` lines of one event are written a second, the others summed up by `log.summed`.
-                A line that finds the queue full is dropped and counted by `log.dropped`: logging never holds up the relay.
+                Each event is one line on standard error: as text (`time level event {fields}`) or as a JSON
+                object with `time` (UTC), `level`, `event` and the fields of the event. The keys `log.level`
+                and `log.form` of the operator's file choose level and form; both are reloaded on SIGHUP.
+                Fields are JSON in both forms. Control characters and non-ASCII characters are escaped, so
+                data from outside can't start a new line, and texts longer than 256 characters are truncated.
+                At level debug, every event of a message contains the message's id. At info and above, at most
+                `log.flood_after` lines of one event are written per second; `log.summed` reports how many
+                more there were. Lines that find the log queue full are dropped and counted by `log.dropped`,
+                so that logging never blocks the relay.
 
-                | event | level | fields | |
+                | event | level | fields | meaning |
                 | --- | --- | --- | --- |
                 """);
         for (Event event : values()) {
-            out.append("| `").append(event.label).append("` | ").append(event.levelName())
+            page.append("| `").append(event.label).append("` | ").append(event.levelName())
                 .append(" | ").append(String.join(", ", event.fields)).append(" | ").append(event.description)
                 .append(" |\n");
         }
-        return out.toString();
+        return page.toString();
     }
 }
--- a/relay/src/main/java/yewpath/events/LineFormat.java
+++ b/relay/src/main/java/yewpath/events/LineFormat.java
@@ -12,78 +12,84 @@
 import java.util.List;
 import org.tinylog.Level;
 
-/** One line: fields as a JSON object, and the line around them in either form. */
+/** Formats log lines: the fields as a JSON object, and the line that contains them as text or JSON. */
 final class LineFormat {
-    /** Guards against ids and paths from outside that fill a disk by their length. */
-    private static final int LONGEST = 256, LONGEST_TRACE = 4_000;
-    /** Characters beyond ASCII are escaped: control characters of any kind and lone surrogates among them. */
+    /** Longer texts are cut: ids and paths from outside could fill the disk by their length. */
+    private static final int MAX_TEXT_LENGTH = 256;
+    private static final int MAX_STACK_TRACE_LENGTH = 4_000;
+    /** Escapes all characters beyond ASCII, which include control characters and lone surrogates. */
     private static final JsonFactory FACTORY = JsonFactory.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII)
         .build();
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS")
+    private static final DateTimeFormatter TIME_FORMAT = DateTimeFormatter
+        .ofPattern("yyyy-MM-dd HH:mm:ss.SSS")
         .withZone(ZoneOffset.UTC);
 
     private LineFormat() {}
 
-    /** A JSON object; one value for each of the event's fields, of which those that are null are left out. */
-    static String fields(String[] names, Object... values) {
+    /** Returns a JSON object that has one member for each name; members whose value is null are omitted. */
+    static String formatFields(String[] names, Object... values) {
         StringWriter text = new StringWriter(128);
-        // Written to characters, not bytes: a lone surrogate then is escaped like any other and is no error.
-        try (JsonGenerator out = FACTORY.createGenerator(text)) {
-            out.writeStartObject();
+        // The generator writes characters instead of bytes: as bytes, a lone surrogate would be an error.
+        try (JsonGenerator generator = FACTORY.createGenerator(text)) {
+            generator.writeStartObject();
             for (int i = 0; i < names.length; i++) {
                 Object value = values[i];
                 if (value instanceof Long || value instanceof Integer) {
-                    out.writeNumberField(names[i], ((Number) value).longValue());
-                } else if (value instanceof Double figure) {
-                    out.writeNumberField(names[i], figure);
+                    generator.writeNumberField(names[i], ((Number) value).longValue());
+                } else if (value instanceof Double number) {
+                    generator.writeNumberField(names[i], number);
                 } else if (value instanceof Boolean flag) {
-                    out.writeBooleanField(names[i], flag);
+                    generator.writeBooleanField(names[i], flag);
                 } else if (value instanceof List<?> list) {
-                    out.writeArrayFieldStart(names[i]);
-                    for (Object one : list) {
-                        out.writeString(cut(String.valueOf(one), LONGEST));
+                    generator.writeArrayFieldStart(names[i]);
+                    for (Object element : list) {
+                        generator.writeString(truncate(String.valueOf(element), MAX_TEXT_LENGTH));
                     }
-                    out.writeEndArray();
+                    generator.writeEndArray();
                 } else if (value instanceof Throwable thrown) {
-                    out.writeStringField(names[i], cut(trace(thrown), LONGEST_TRACE));
+                    generator.writeStringField(names[i],
+                        truncate(formatStackTrace(thrown), MAX_STACK_TRACE_LENGTH));
                 } else if (value != null) {
-                    out.writeStringField(names[i], cut(value.toString(), LONGEST));
+                    generator.writeStringField(names[i], truncate(value.toString(), MAX_TEXT_LENGTH));
                 }
             }
-            out.writeEndObject();
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        // The one control character that JSON lets stand as it is.
+        // DEL is the only control character that JSON does not require to be escaped.
         return text.toString().replace("\u007f", "\\u007F");
     }
 
-    private static String cut(String text, int most) {
-        return text.length() <= most ? text : text.substring(0, most) + "...";
+    private static String truncate(String text, int maxLength) {
+        return text.length() <= maxLength ? text : text.substring(0, maxLength) + "...";
     }
 
-    private static String trace(Throwable thrown) {
-        StringBuilder out = new StringBuilder();
-        for (Throwable at = thrown; at != null; at = at.getCause()) {
-            out.append(out.isEmpty() ? "" : " | by ").append(at);
-            for (StackTraceElement frame : at.getStackTrace()) {
-                if (out.length() > LONGEST_TRACE) {
+    /** Returns the exception, its causes and their stack frames in a single line. */
+    private static String formatStackTrace(Throwable thrown) {
+        StringBuilder trace = new StringBuilder();
+        for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
+            trace.append(trace.isEmpty() ? "" : " | caused by ").append(cause);
+            for (StackTraceElement frame : cause.getStackTrace()) {
+                if (trace.length() > MAX_STACK_TRACE_LENGTH) {
                     break;
                 }
-                out.append(" < ").append(frame.getClassName()).append('.').append(frame.getMethodName())
+                trace.append(" < ").append(frame.getClassName()).append('.').append(frame.getMethodName())
                     .append(':')
                     .append(frame.getLineNumber());
             }
         }
-        return out.toString();
+        return trace.toString();
     }
 
-    static String of(boolean json, Instant at, Level level, String event, String fields) {
+    /** Returns a whole line with its line feed; {@code fields} is the result of {@link #formatFields}. */
+    static String formatLine(boolean json, Instant time, Level level, String event, String fields) {
         if (!json) {
-            return TIME.format(at) + ' ' + level + ' ' + event + (fields.equals("{}") ? "" : ' ' + fields)
+            return TIME_FORMAT.format(time) + ' ' + level + ' ' + event
+                + (fields.equals("{}") ? "" : ' ' + fields)
                 + '\n';
         }
-        return "{\"time\":\"" + at + "\",\"level\":\"" + level.name().toLowerCase(java.util.Locale.ROOT)
+        return "{\"time\":\"" + time + "\",\"level\":\"" + level.name().toLowerCase(java.util.Locale.ROOT)
             + "\",\"event\":\"" + event + '"'
             + (fields.equals("{}") ? "" : "," + fields.substring(1, fields.length() - 1))
             + "}\n";
--- a/relay/src/main/java/yewpath/events/LinesWriter.java
+++ b/relay/src/main/java/yewpath/events/LinesWriter.java
@@ -17,31 +17,31 @@
 import org.tinylog.writers.Writer;
 
 /**
- * tinylog's writer "lines": a bounded queue and one thread that empties it onto standard error. Guards against a
- * reader of the log that is slow or gone holding up whoever logs.
+ * The tinylog writer "lines": a bounded queue and a thread that writes its lines to standard error. A slow or
+ * stopped reader of standard error therefore never blocks the threads that log.
  */
 public final class LinesWriter implements Writer {
-    private static final long EVERY = 500_000_000L;
+    private static final long REPORT_INTERVAL_NANOS = 500_000_000L;
     private static volatile LinesWriter current;
 
-    private final ArrayBlockingQueue<String> waiting = new ArrayBlockingQueue<>(Log.queueMost());
-    private final AtomicLong dropped = new AtomicLong();
-    private final AtomicLong accepted = new AtomicLong();
-    private final AtomicLong written = new AtomicLong();
-    private final OutputStream out;
-    private long toldOfDropped;
-    private long summedAt = System.nanoTime();
-    private volatile boolean hurried;
+    private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(Log.maxQueuedLines());
+    private final AtomicLong droppedLines = new AtomicLong();
+    private final AtomicLong acceptedLines = new AtomicLong();
+    private final AtomicLong writtenLines = new AtomicLong();
+    private final OutputStream output;
+    private long reportedDroppedLines;
+    private long lastReportNanos = System.nanoTime();
+    private volatile boolean flushing;
 
-    /** As tinylog makes it. */
+    /** Creates the writer of standard error; called by tinylog. */
     public LinesWriter(Map<String, String> properties) {
         this(new FileOutputStream(FileDescriptor.err));
         current = this;
     }
 
-    LinesWriter(OutputStream out) {
-        this.out = out;
-        Thread thread = new Thread(this::empty, "yewpath-log");
+    LinesWriter(OutputStream output) {
+        this.output = output;
+        Thread thread = new Thread(this::writeQueuedLines, "yewpath-log");
         thread.setDaemon(true);
         thread.start();
     }
@@ -52,72 +52,78 @@
             LogEntryValue.EXCEPTION);
     }
 
+    /** Queues an entry; an entry without a tag comes from a library instead of {@link Log}. */
     @Override
     public void write(LogEntry entry) {
         String event = entry.getTag();
         String fields = entry.getMessage();
         if (event == null) {
             event = Event.LIBRARY.label;
-            fields = LineFormat.fields(Event.LIBRARY.fields, entry.getMessage(), entry.getException());
+            fields = LineFormat.formatFields(Event.LIBRARY.fields, entry.getMessage(), entry.getException());
         }
-        Instant at = entry.getTimestamp() == null ? Instant.now() : entry.getTimestamp().toInstant();
-        put(LineFormat.of(Log.isJson(), at, entry.getLevel(), event, fields));
+        Instant time = entry.getTimestamp() == null ? Instant.now() : entry.getTimestamp().toInstant();
+        enqueue(LineFormat.formatLine(Log.isJson(), time, entry.getLevel(), event, fields));
     }
 
-    void put(String line) {
-        if (waiting.offer(line)) {
-            accepted.incrementAndGet();
+    /** Adds a line to the queue, or drops and counts it if the queue is full. */
+    void enqueue(String line) {
+        if (queue.offer(line)) {
+            acceptedLines.incrementAndGet();
         } else {
-            dropped.incrementAndGet();
+            droppedLines.incrementAndGet();
         }
     }
 
-    private void empty() {
+    private void writeQueuedLines() {
         while (true) {
             try {
-                String line = waiting.poll(hurried ? 10 : 500, TimeUnit.MILLISECONDS);
+                String line = queue.poll(flushing ? 10 : 500, TimeUnit.MILLISECONDS);
                 if (line != null) {
-                    out.write(line.getBytes(StandardCharsets.US_ASCII));
-                    written.incrementAndGet();
+                    output.write(line.getBytes(StandardCharsets.US_ASCII));
+                    writtenLines.incrementAndGet();
                 }
-            } catch (IOException gone) {
-                // Nobody reads any more; there is no other place to say so.
-                written.incrementAndGet();
+            } catch (IOException readerClosed) {
+                // Standard error has no reader any more, and there is no other place to report that.
+                writtenLines.incrementAndGet();
             } catch (InterruptedException e) {
                 return;
             }
             long now = System.nanoTime();
-            if (this == current && now - summedAt > EVERY && waiting.remainingCapacity() > 1) {
-                summedAt = now;
-                long lost = dropped.get();
-                Log.sumUp(false, lost - toldOfDropped);
-                toldOfDropped = lost;
+            if (this == current && now - lastReportNanos > REPORT_INTERVAL_NANOS
+                && queue.remainingCapacity() > 1) {
+                lastReportNanos = now;
+                long dropped = droppedLines.get();
+                Log.reportUnwrittenLines(false, dropped - reportedDroppedLines);
+                reportedDroppedLines = dropped;
             }
         }
     }
 
-    long droppedSoFar() {
-        return dropped.get();
+    long droppedLines() {
+        return droppedLines.get();
     }
 
+    /** Whether every line that entered the queue has been written. */
     boolean isEmpty() {
-        return written.get() >= accepted.get();
+        return writtenLines.get() >= acceptedLines.get();
     }
 
-    static long droppedEver() {
+    /** Returns the lines that tinylog's writer has dropped; 0 before the first line. */
+    static long currentDroppedLines() {
         LinesWriter writer = current;
-        return writer == null ? 0 : writer.droppedSoFar();
+        return writer == null ? 0 : writer.droppedLines();
     }
 
-    static void flushAll(long most) {
+    /** Waits until tinylog's writer has written all lines of its queue, {@code timeoutMillis} at most. */
+    static void flushCurrent(long timeoutMillis) {
         LinesWriter writer = current;
         if (writer == null) {
             return;
         }
-        Log.sumUp(true, 0);
-        writer.hurried = true;
-        long end = System.nanoTime() + most * 1_000_000;
-        while (!writer.isEmpty() && System.nanoTime() < end) {
+        Log.reportUnwrittenLines(true, 0);
+        writer.flushing = true;
+        long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
+        while (!writer.isEmpty() && System.nanoTime() < deadlineNanos) {
             try {
                 Thread.sleep(2);
             } catch (InterruptedException e) {
--- a/relay/src/main/java/yewpath/events/package-info.java
+++ b/relay/src/main/java/yewpath/events/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What the relay says of itself: a closed list of events ({@link yewpath.events.Event}), each a line of text or JSON
- * with fields, written by a thread of its own from a bounded queue. The I/O thread never waits for it: what finds no
- * room is dropped and counted, and a flood of one event is counted and summed up.
+ * Writes the relay's log. Every line is one of the events of {@link yewpath.events.Event}, as text or as
+ * JSON. A separate thread writes the lines from a bounded queue, so the I/O thread never waits for the log:
+ * lines that find the queue full are dropped and counted, and frequent lines of the same event are suppressed
+ * and counted.
  */
 package yewpath.events;
--- a/relay/src/main/java/yewpath/json/Json.java
+++ b/relay/src/main/java/yewpath/json/Json.java
@@ -13,140 +13,173 @@
 import java.util.function.BiConsumer;
 
 /**
- * JSON as a stream of tokens: nothing is built of a text but what its reader keeps. What can't be read is an
- * IllegalArgumentException whose message names the place.
+ * Reads and writes JSON as a stream of tokens, without building a tree in memory. Invalid input is reported
+ * by an IllegalArgumentException whose message contains the line and column.
  */
 public final class Json {
-    /** Reads the value at whose first token the parser stands, to its last token. */
+    /** Reads one value. */
     public interface ValueReader<T> {
-        T read(JsonParser at) throws IOException;
+        /** Called with the parser at the first token of the value; must leave it at the last token. */
+        T read(JsonParser parser) throws IOException;
     }
 
-    /** What is to be written. */
+    /** Writes JSON content. */
     public interface ContentWriter {
-        void writeTo(JsonGenerator out) throws IOException;
+        /** Writes any number of values. */
+        void writeTo(JsonGenerator generator) throws IOException;
     }
 
-    /** Takes one member of an object; the parser stands at the first token of its value. */
+    /** Reads one member of an object. */
     public interface MemberReader {
-        void read(String name, JsonParser at) throws IOException;
+        /**
+         * Called with the parser at the first token of the member's value; must leave it at the last token.
+         */
+        void read(String name, JsonParser parser) throws IOException;
     }
 
     private static final JsonFactory FACTORY = JsonFactory.builder()
         .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(64).build())
-        // Names come from outside and differ without end: kept for good they would fill the heap.
+        // Field names come from other programs and are unbounded in number: caching them would fill the heap.
         .disable(JsonFactory.Feature.INTERN_FIELD_NAMES).disable(JsonFactory.Feature.CANONICALIZE_FIELD_NAMES)
         .build();
 
     private Json() {}
 
-    /** Reads a text that is one JSON value and nothing else. */
+    /**
+     * Parses a text that consists of exactly one JSON value.
+     *
+     * @throws IllegalArgumentException if the text is not valid JSON, is empty or contains more than one
+     *     value
+     */
     public static <T> T parse(byte[] bytes, ValueReader<T> reader) {
-        try (JsonParser at = FACTORY.createParser(bytes)) {
-            if (at.nextToken() == null) {
-                throw error(at, "nothing to read");
+        try (JsonParser parser = FACTORY.createParser(bytes)) {
+            if (parser.nextToken() == null) {
+                throw error(parser, "the text is empty");
             }
-            T value = reader.read(at);
-            if (at.nextToken() != null) {
-                throw error(at, "something after the value");
+            T value = reader.read(parser);
+            if (parser.nextToken() != null) {
+                throw error(parser, "unexpected content after the JSON value");
             }
             return value;
         } catch (IOException e) {
-            throw garbled(e);
+            throw invalidJson(e);
         }
     }
 
-    /** Reads a text whose bytes are fed to it as they come. */
-    static JsonParser incremental() throws IOException {
+    /** Creates a non-blocking parser, which is fed with bytes as they arrive. */
+    static JsonParser createIncrementalParser() throws IOException {
         return FACTORY.createNonBlockingByteArrayParser();
     }
 
-    static IllegalArgumentException garbled(IOException e) {
-        if (e instanceof JsonProcessingException garbled) {
-            var place = garbled.getLocation();
-            return new IllegalArgumentException(garbled.getOriginalMessage()
-                + (place == null ? "" : " at line " + place.getLineNr() + ", column " + place.getColumnNr()));
+    /** Converts an exception of the parser; the message contains line and column if they are known. */
+    static IllegalArgumentException invalidJson(IOException e) {
+        if (e instanceof JsonProcessingException syntaxError) {
+            var location = syntaxError.getLocation();
+            return new IllegalArgumentException(syntaxError.getOriginalMessage() + (location == null ? ""
+                : " at line " + location.getLineNr() + ", column " + location.getColumnNr()));
         }
-        // Bytes in memory are read without I/O; what is left are bytes that are no text (not UTF-8).
+        // Reading from memory involves no I/O: any other IOException means that the bytes are not valid
+        // UTF-8.
         return new IllegalArgumentException(e.getMessage());
     }
 
-    /** What is at fault where the parser stands. */
-    public static IllegalArgumentException error(JsonParser at, String what) {
-        var place = at.currentTokenLocation();
+    /** Creates an exception for an error at the parser's current token. */
+    public static IllegalArgumentException error(JsonParser parser, String problem) {
+        var location = parser.currentTokenLocation();
         return new IllegalArgumentException(
-            what + " at line " + place.getLineNr() + ", column " + place.getColumnNr());
+            problem + " at line " + location.getLineNr() + ", column " + location.getColumnNr());
     }
 
-    /** Calls {@code member} with the parser at the first token of each value of an object. */
-    public static void readObject(JsonParser at, MemberReader member) throws IOException {
-        if (at.currentToken() != JsonToken.START_OBJECT) {
-            throw error(at, "not an object");
+    /**
+     * Reads an object and calls {@code member} for each of its members.
+     *
+     * @throws IllegalArgumentException if the current token does not start an object
+     */
+    public static void readObject(JsonParser parser, MemberReader member) throws IOException {
+        if (parser.currentToken() != JsonToken.START_OBJECT) {
+            throw error(parser, "expected an object");
         }
-        while (at.nextToken() != JsonToken.END_OBJECT) {
-            String name = at.currentName();
-            at.nextToken();
-            member.read(name, at);
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            member.read(name, parser);
         }
     }
 
-    /** {@code element} is called with the parser at the first token of each element. */
-    public static void readArray(JsonParser at, ValueReader<?> element) throws IOException {
-        if (at.currentToken() != JsonToken.START_ARRAY) {
-            throw error(at, "not a list");
+    /**
+     * Reads an array and calls {@code element} for each of its elements.
+     *
+     * @throws IllegalArgumentException if the current token does not start an array
+     */
+    public static void readArray(JsonParser parser, ValueReader<?> element) throws IOException {
+        if (parser.currentToken() != JsonToken.START_ARRAY) {
+            throw error(parser, "expected an array");
         }
-        while (at.nextToken() != JsonToken.END_ARRAY) {
-            element.read(at);
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            element.read(parser);
         }
     }
 
-    /** Returns the string that the parser stands at. */
-    public static String readString(JsonParser at) throws IOException {
-        if (at.currentToken() != JsonToken.VALUE_STRING) {
-            throw error(at, "not a string");
+    /**
+     * Returns the current token, which must be a string.
+     *
+     * @throws IllegalArgumentException if it is not a string
+     */
+    public static String readString(JsonParser parser) throws IOException {
+        if (parser.currentToken() != JsonToken.VALUE_STRING) {
+            throw error(parser, "expected a string");
         }
-        return at.getText();
+        return parser.getText();
     }
 
-    /** Returns the number that the parser stands at. */
-    public static double readNumber(JsonParser at) throws IOException {
-        if (!at.currentToken().isNumeric()) {
-            throw error(at, "not a number");
+    /**
+     * Returns the current token, which must be a number.
+     *
+     * @throws IllegalArgumentException if it is not a number
+     */
+    public static double readNumber(JsonParser parser) throws IOException {
+        if (!parser.currentToken().isNumeric()) {
+            throw error(parser, "expected a number");
         }
-        return at.getDoubleValue();
+        return parser.getDoubleValue();
     }
 
-    /** Paths to values: lists of plain values joined by commas, lists of objects by number and with a count. */
-    public static void flatten(String path, JsonParser at, BiConsumer<String, String> into)
+    /**
+     * Converts a value to pairs of a dotted path and a text. The scalar elements of an array are joined by
+     * commas under the path of the array, its other elements have their index in their path, and PATH.count
+     * is the length of the array. Nulls are omitted.
+     */
+    public static void flatten(String path, JsonParser parser, BiConsumer<String, String> target)
         throws IOException {
-        JsonToken token = at.currentToken();
+        JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
-            readObject(at, (name, value) -> flatten(path.isEmpty() ? name : path + '.' + name, value, into));
+            readObject(parser,
+                (name, value) -> flatten(path.isEmpty() ? name : path + '.' + name, value, target));
         } else if (token == JsonToken.START_ARRAY) {
-            StringJoiner plain = new StringJoiner(",");
+            StringJoiner scalars = new StringJoiner(",");
             int[] count = {0};
-            readArray(at, element -> {
+            readArray(parser, element -> {
                 if (element.currentToken().isScalarValue()) {
-                    plain.add(element.getText());
+                    scalars.add(element.getText());
                 } else {
-                    flatten(path + '.' + count[0], element, into);
+                    flatten(path + '.' + count[0], element, target);
                 }
                 return count[0]++;
             });
-            into.accept(path, plain.toString());
-            into.accept(path + ".count", String.valueOf(count[0]));
+            target.accept(path, scalars.toString());
+            target.accept(path + ".count", String.valueOf(count[0]));
         } else if (token != JsonToken.VALUE_NULL) {
-            into.accept(path, at.getText());
+            target.accept(path, parser.getText());
         }
     }
 
-    /** The bytes, in UTF-8, of what is written. */
-    public static byte[] write(ContentWriter written) {
+    /** Returns the written JSON in UTF-8. */
+    public static byte[] write(ContentWriter content) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
-            // Values that follow each other are lines here, each ended by its writer.
-            out.setRootValueSeparator(null);
-            written.writeTo(out);
+        try (JsonGenerator generator = FACTORY.createGenerator(bytes)) {
+            // Consecutive values are separate lines, and the content writer ends each line itself.
+            generator.setRootValueSeparator(null);
+            content.writeTo(generator);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/relay/src/main/java/yewpath/json/JsonObjectSplitter.java
+++ b/relay/src/main/java/yewpath/json/JsonObjectSplitter.java
@@ -8,83 +8,99 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts bytes that come piece by piece into objects and the empty lines between them. An object may stand on one line or
- * be indented over many; one that can't come to its end any more is found out at the first byte that says so.
+ * Splits a stream of bytes, which arrives in chunks of any size, into JSON objects and the empty lines
+ * between them. An object may span several lines. Invalid JSON is detected at the first byte that makes it
+ * invalid.
  */
 public final class JsonObjectSplitter {
-    private final Consumer<byte[]> object;
-    private final Runnable emptyLine;
-    private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    private final Consumer<byte[]> objectHandler;
+    private final Runnable emptyLineHandler;
+    private final ByteArrayOutputStream partialObject = new ByteArrayOutputStream();
+    /** Null between two objects. */
     private JsonParser parser;
-    /** Whether the line that goes on ended an object, and so is no empty one. */
-    private boolean lineTaken;
+    /** Whether an object ended on the current line, which therefore is not an empty line. */
+    private boolean lineHasObject;
 
-    public JsonObjectSplitter(Consumer<byte[]> object, Runnable emptyLine) {
-        this.object = object;
-        this.emptyLine = emptyLine;
+    /**
+     * Creates a splitter that passes on the bytes of each complete object, and each empty line outside of
+     * objects.
+     */
+    public JsonObjectSplitter(Consumer<byte[]> objectHandler, Runnable emptyLineHandler) {
+        this.objectHandler = objectHandler;
+        this.emptyLineHandler = emptyLineHandler;
     }
 
-    /** Whether an object has begun that is not whole. */
+    /** Whether the bytes so far end inside an object. */
     public boolean isIncomplete() {
         return parser != null;
     }
 
-    /** Throws IllegalArgumentException at what is no object, or at one longer than {@code most}; of no use after that. */
-    public void feed(byte[] bytes, int most) {
-        for (int at = 0; at < bytes.length;) {
-            at = parser == null && isSpace(bytes[at]) ? space(bytes, at) : inside(bytes, at);
-            if (begun.size() > most) {
-                throw new IllegalArgumentException("an object longer than " + most + " bytes");
+    /**
+     * Processes the next bytes of the stream.
+     *
+     * @param maxBytes the longest object that is accepted
+     * @throws IllegalArgumentException if the stream contains anything but objects, or a longer object;
+     *     the splitter can't be used after that
+     */
+    public void feed(byte[] bytes, int maxBytes) {
+        for (int position = 0; position < bytes.length;) {
+            position = parser == null && isWhitespace(bytes[position]) ? readWhitespace(bytes, position)
+                : readObject(bytes, position);
+            if (partialObject.size() > maxBytes) {
+                throw new IllegalArgumentException("an object is longer than " + maxBytes + " bytes");
             }
         }
     }
 
-    private static boolean isSpace(byte b) {
-        return b == ' ' || b == '\t' || b == '\r' || b == '\n';
+    private static boolean isWhitespace(byte character) {
+        return character == ' ' || character == '\t' || character == '\r' || character == '\n';
     }
 
-    private int space(byte[] bytes, int at) {
-        if (bytes[at] == '\n') {
-            if (!lineTaken) {
-                emptyLine.run();
+    private int readWhitespace(byte[] bytes, int position) {
+        if (bytes[position] == '\n') {
+            if (!lineHasObject) {
+                emptyLineHandler.run();
             }
-            lineTaken = false;
+            lineHasObject = false;
         }
-        return at + 1;
+        return position + 1;
     }
 
-    /** Returns where the object ends, or these bytes do. */
-    private int inside(byte[] bytes, int from) {
+    /**
+     * Returns the position after the end of the object, or the length of {@code bytes} if the object
+     * continues.
+     */
+    private int readObject(byte[] bytes, int start) {
         try {
-            parser = parser == null ? Json.incremental() : parser;
-            ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, from, bytes.length);
+            parser = parser == null ? Json.createIncrementalParser() : parser;
+            ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, start, bytes.length);
             for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser
                 .nextToken()) {
                 if (token == JsonToken.END_OBJECT && parser.getParsingContext().inRoot()) {
-                    int end = from + (int) parser.currentLocation().getByteOffset() - begun.size();
-                    begun.write(bytes, from, end - from);
-                    whole();
+                    int end = start + (int) parser.currentLocation().getByteOffset() - partialObject.size();
+                    partialObject.write(bytes, start, end - start);
+                    completeObject();
                     return end;
                 }
                 if (token.isScalarValue() && parser.getParsingContext().inRoot()
                     || token == JsonToken.START_ARRAY
                         && parser.getParsingContext().getParent().inRoot()) {
-                    throw new IllegalArgumentException("not an object");
+                    throw new IllegalArgumentException("expected an object");
                 }
             }
-        } catch (IOException garbled) {
-            throw Json.garbled(garbled);
+        } catch (IOException invalid) {
+            throw Json.invalidJson(invalid);
         }
-        begun.write(bytes, from, bytes.length - from);
+        partialObject.write(bytes, start, bytes.length - start);
         return bytes.length;
     }
 
-    private void whole() throws IOException {
+    private void completeObject() throws IOException {
         parser.close();
         parser = null;
-        lineTaken = true;
-        byte[] bytes = begun.toByteArray();
-        begun.reset();
-        object.accept(bytes);
+        lineHasObject = true;
+        byte[] bytes = partialObject.toByteArray();
+        partialObject.reset();
+        objectHandler.accept(bytes);
     }
 }
--- a/relay/src/main/java/yewpath/json/package-info.java
+++ b/relay/src/main/java/yewpath/json/package-info.java
@@ -1,2 +1,2 @@
-/** A streaming JSON tokenizer over byte buffers, and typed access to small objects. */
+/** Reads and writes JSON with a streaming parser, and splits a byte stream into JSON objects. */
 package yewpath.json;
--- a/relay/src/main/java/yewpath/operator/OperatorFile.java
+++ b/relay/src/main/java/yewpath/operator/OperatorFile.java
@@ -7,53 +7,68 @@
 import yewpath.configuration.SettingValues;
 import yewpath.configuration.TomlFile;
 
-/** Reads the operator's file and checks what must fit together in it. */
+/** Reads the operator's file and checks the conditions that involve several keys. */
 public final class OperatorFile {
-    private static final FileSchema SHAPE = new FileSchema(OperatorKeys.all(), OperatorKeys.tables(),
-        Map.of(), null);
+    private static final FileSchema SCHEMA = new FileSchema(OperatorKeys.all(), OperatorKeys.tables(),
+        Map.of(),
+        null);
 
     private OperatorFile() {}
 
-    /** {@code path} may be null, which leaves all as it stands in the catalogue. */
+    /**
+     * Reads a file.
+     *
+     * @param path the file; null returns the defaults
+     * @throws ConfigurationException if the file can't be read or contains errors; holds all of them
+     */
     public static OperatorSettings read(String path) throws ConfigurationException {
-        return path == null ? OperatorSettings.STANDARD
-            : new OperatorSettings(TomlFile.read(path, SHAPE, OperatorFile::together));
+        return path == null ? OperatorSettings.DEFAULTS
+            : new OperatorSettings(TomlFile.read(path, SCHEMA, OperatorFile::checkKeyPairs));
     }
 
-    /** The same of a text that stands in no file; {@code name} is what faults call it. */
-    public static OperatorSettings parse(String name, String text) throws ConfigurationException {
-        return new OperatorSettings(TomlFile.parse(name, text, SHAPE, OperatorFile::together));
+    /**
+     * Reads the text of a file.
+     *
+     * @param fileName the file name that error messages show
+     * @throws ConfigurationException if the text contains errors; holds all of them
+     */
+    public static OperatorSettings parse(String fileName, String text) throws ConfigurationException {
+        return new OperatorSettings(TomlFile.parse(fileName, text, SCHEMA, OperatorFile::checkKeyPairs));
     }
 
-    /** Each fault at the line of a key that is told. */
-    private static void together(SettingValues all, TomlFile.ErrorReporter fault) {
-        if (all.fraction(OperatorKeys.LEDGER_LIVE_FRACTION)
-            + all.fraction(OperatorKeys.LEDGER_COMPACTION_FRACTION) > 0.98) {
-            unfit(all, fault, OperatorKeys.LEDGER_COMPACTION_FRACTION, OperatorKeys.LEDGER_LIVE_FRACTION,
+    /** Reports each violated condition at the line of one of its keys that the file sets. */
+    private static void checkKeyPairs(SettingValues values, TomlFile.ErrorReporter errors) {
+        if (values.fraction(OperatorKeys.LEDGER_LIVE_FRACTION)
+            + values.fraction(OperatorKeys.LEDGER_COMPACTION_FRACTION) > 0.98) {
+            reportPair(values, errors, OperatorKeys.LEDGER_COMPACTION_FRACTION,
+                OperatorKeys.LEDGER_LIVE_FRACTION,
                 "together exceed 0.98 of the disk");
         }
-        if (all.fraction(OperatorKeys.LEDGER_LIVE_FRACTION) >= all
+        if (values.fraction(OperatorKeys.LEDGER_LIVE_FRACTION) >= values
             .fraction(OperatorKeys.LEDGER_COMPACTION_FRACTION)) {
-            unfit(all, fault, OperatorKeys.LEDGER_LIVE_FRACTION, OperatorKeys.LEDGER_COMPACTION_FRACTION,
-                "the first must be less, or the file is written anew each time");
+            reportPair(values, errors, OperatorKeys.LEDGER_LIVE_FRACTION,
+                OperatorKeys.LEDGER_COMPACTION_FRACTION,
+                "the first must be less than the second, or every write would compact the ledger");
         }
-        ordered(all, fault, OperatorKeys.BUFFER_INITIAL_BYTES, OperatorKeys.BUFFER_MAX_BYTES);
-        ordered(all, fault, OperatorKeys.DISCOVERY_MIN_RETRY_DELAY, OperatorKeys.DISCOVERY_MAX_RETRY_DELAY);
-        ordered(all, fault, OperatorKeys.SHUTDOWN_ATTEMPT_PERIOD, OperatorKeys.SHUTDOWN_MAX_DURATION);
-        ordered(all, fault, OperatorKeys.SHUTDOWN_MIN_DURATION, OperatorKeys.SHUTDOWN_MAX_DURATION);
+        checkOrder(values, errors, OperatorKeys.BUFFER_INITIAL_BYTES, OperatorKeys.BUFFER_MAX_BYTES);
+        checkOrder(values, errors, OperatorKeys.DISCOVERY_MIN_RETRY_DELAY,
+            OperatorKeys.DISCOVERY_MAX_RETRY_DELAY);
+        checkOrder(values, errors, OperatorKeys.SHUTDOWN_ATTEMPT_PERIOD, OperatorKeys.SHUTDOWN_MAX_DURATION);
+        checkOrder(values, errors, OperatorKeys.SHUTDOWN_MIN_DURATION, OperatorKeys.SHUTDOWN_MAX_DURATION);
     }
 
-    private static void ordered(SettingValues all, TomlFile.ErrorReporter fault, Key less, Key more) {
-        if (all.number(less) > all.number(more)) {
-            unfit(all, fault, less, more,
-                "the first exceeds the second (" + less.type.format(all.value(less)) + ", "
-                    + more.type.format(all.value(more)) + ")");
+    private static void checkOrder(SettingValues values, TomlFile.ErrorReporter errors, Key smaller,
+        Key larger) {
+        if (values.number(smaller) > values.number(larger)) {
+            reportPair(values, errors, smaller, larger,
+                "the first exceeds the second (" + smaller.type.format(values.value(smaller)) + ", "
+                    + larger.type.format(values.value(larger)) + ")");
         }
     }
 
-    private static void unfit(SettingValues all, TomlFile.ErrorReporter fault, Key one, Key other,
-        String why) {
-        fault.report(all.isSet(one) ? all.line(one) : all.line(other),
-            one.path + " and " + other.path + ": " + why);
+    private static void reportPair(SettingValues values, TomlFile.ErrorReporter errors, Key first, Key second,
+        String problem) {
+        errors.report(values.isSet(first) ? values.line(first) : values.line(second),
+            first.path + " and " + second.path + ": " + problem);
     }
 }
--- a/relay/src/main/java/yewpath/operator/OperatorSettings.java
+++ b/relay/src/main/java/yewpath/operator/OperatorSettings.java
@@ -6,10 +6,10 @@
 import yewpath.configuration.Key;
 import yewpath.configuration.SettingValues;
 
-/** What is in force: the operator's file over the catalogue. Never changes: a new file makes a new one. */
+/** The settings of one operator's file, with the defaults of all other keys. Immutable. */
 public final class OperatorSettings {
-    /** No file: all as it stands in the catalogue. */
-    public static final OperatorSettings STANDARD = new OperatorSettings(new SettingValues());
+    /** The settings without an operator's file. */
+    public static final OperatorSettings DEFAULTS = new OperatorSettings(new SettingValues());
 
     private final SettingValues values;
 
@@ -17,39 +17,48 @@
         this.values = values;
     }
 
-    /** Null where neither the file nor the catalogue names a figure. */
+    /**
+     * Returns the value in its in-memory unit; null if the file does not set the key and it has no default.
+     */
     public Object value(Key key) {
         return values.value(key);
     }
 
-    /** Of counts, spans (microseconds) and sizes (bytes). */
+    /** Returns a count, a duration in microseconds or a size in bytes. */
     public long number(Key key) {
         return values.number(key);
     }
 
-    /** {@code derived} holds where the file says nothing. */
+    /** Like {@link #number}, but returns {@code derived} if the file does not set the key. */
     public long numberOr(Key key, long derived) {
         return values.isSet(key) ? values.number(key) : derived;
     }
 
+    /** Returns the value of a key whose type is a fraction. */
     public double fraction(Key key) {
         return values.fraction(key);
     }
 
+    /** Returns the value of a key whose type is a choice. */
     public String string(Key key) {
         return values.string(key);
     }
 
-    /** "file:line", "default" or "derived". */
+    /** Returns where the value comes from: "file:line", "default" or "derived". */
     public String origin(Key key) {
         return values.origin(key);
     }
 
-    /** The keys whose values differ, of those that a running relay takes up, or of the others. */
-    public List<String> changedKeys(OperatorSettings anew, boolean live) {
+    /**
+     * Returns the paths of the keys whose values differ from those of other settings.
+     *
+     * @param reloadable whether to compare the keys that a running relay reloads, or those that need a
+     *     restart
+     */
+    public List<String> changedKeys(OperatorSettings other, boolean reloadable) {
         List<String> paths = new ArrayList<>();
         for (Key key : OperatorKeys.all()) {
-            if (key.reloadable == live && !Objects.equals(value(key), anew.value(key))) {
+            if (key.reloadable == reloadable && !Objects.equals(value(key), other.value(key))) {
                 paths.add(key.path);
             }
         }
--- a/relay/src/main/java/yewpath/operator/package-info.java
+++ b/relay/src/main/java/yewpath/operator/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The operator's file: what may be set there ({@link yewpath.operator.Catalogue}), what must fit together, and what is in
- * force. Reads one file when asked to; decides nothing and knows nothing of the relay.
+ * The operator's file: the keys that it may contain ({@link yewpath.operator.OperatorKeys}), the conditions
+ * that involve several keys, and the resulting settings. The package only reads the file and depends on no
+ * other part of the relay.
  */
 package yewpath.operator;
--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -44,7 +44,7 @@
         worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
             .set(Options.WORKER_TASK_CORE_THREADS, 1).getMap());
         loop = new Loop(worker.getIoThread());
-        limits = new Limits(name -> 0, 2_000_000, 2_000_000, OperatorSettings.STANDARD);
+        limits = new Limits(name -> 0, 2_000_000, 2_000_000, OperatorSettings.DEFAULTS);
         delivery = new Delivery(loop, limits, List.of(), () -> true);
     }
 
--- a/relay/src/test/java/yewpath/DeliveryTest.java
+++ b/relay/src/test/java/yewpath/DeliveryTest.java
@@ -186,7 +186,7 @@
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         Loop loop = new Loop(worker.getIoThread());
         Delivery delivery = new Delivery(loop,
-            new Limits(name -> 0, 1_000_000, 2_000_000, OperatorSettings.STANDARD),
+            new Limits(name -> 0, 1_000_000, 2_000_000, OperatorSettings.DEFAULTS),
             List.of(), () -> true);
         AtomicInteger outcomes = new AtomicInteger();
         Call.Attempt cargo = (Call.Attempt) Proxy.newProxyInstance(Call.Attempt.class.getClassLoader(),
--- a/relay/src/test/java/yewpath/OperatorFileTest.java
+++ b/relay/src/test/java/yewpath/OperatorFileTest.java
@@ -18,32 +18,32 @@
 import yewpath.operator.OperatorSettings;
 import yewpath.operator.Reference;
 
-/** What the operator's file may say, and what is said of one with faults. */
+/** Values that the operator's file may contain, and the errors reported for an invalid file. */
 public final class OperatorFileTest {
     private static OperatorSettings read(String text) throws ConfigurationException {
         return OperatorFile.parse("y.toml", text);
     }
 
-    private static List<String> faults(String text) {
+    private static List<String> errorLines(String text) {
         return expectThrows(ConfigurationException.class, () -> read(text)).errorLines();
     }
 
     @Test
-    public void valuesAreReadWithTheirUnitsAndTellWhereTheyStand() throws ConfigurationException {
-        OperatorSettings o = read(
+    public void valuesAreReadWithUnitAndOrigin() throws ConfigurationException {
+        OperatorSettings settings = read(
             "[clients]\nrequest_within = \"1.5 s\"\nbody_most = \"1 MiB\"\nbacklog = 7\n[ledger]\nlive_part = 0.3\n");
-        assertEquals(o.number(OperatorKeys.CLIENT_REQUEST_TIMEOUT), 1_500_000);
-        assertEquals(o.number(OperatorKeys.CLIENT_MAX_BODY_BYTES), 1 << 20);
-        assertEquals(o.number(OperatorKeys.CLIENT_BACKLOG), 7);
-        assertEquals(o.fraction(OperatorKeys.LEDGER_LIVE_FRACTION), 0.3);
-        assertEquals(o.origin(OperatorKeys.CLIENT_BACKLOG), "y.toml:4");
-        assertEquals(o.origin(OperatorKeys.LEDGER_COMPACTION_FRACTION), "default");
-        assertEquals(o.origin(OperatorKeys.CLIENT_CONNECTIONS), "derived");
-        assertEquals(o.numberOr(OperatorKeys.CLIENT_CONNECTIONS, 99), 99);
+        assertEquals(settings.number(OperatorKeys.CLIENT_REQUEST_TIMEOUT), 1_500_000);
+        assertEquals(settings.number(OperatorKeys.CLIENT_MAX_BODY_BYTES), 1 << 20);
+        assertEquals(settings.number(OperatorKeys.CLIENT_BACKLOG), 7);
+        assertEquals(settings.fraction(OperatorKeys.LEDGER_LIVE_FRACTION), 0.3);
+        assertEquals(settings.origin(OperatorKeys.CLIENT_BACKLOG), "y.toml:4");
+        assertEquals(settings.origin(OperatorKeys.LEDGER_COMPACTION_FRACTION), "default");
+        assertEquals(settings.origin(OperatorKeys.CLIENT_CONNECTIONS), "derived");
+        assertEquals(settings.numberOr(OperatorKeys.CLIENT_CONNECTIONS, 99), 99);
     }
 
     @DataProvider
-    public Object[][] faulty() {
+    public Object[][] invalidFiles() {
         return new Object[][]{
             {"[clients]\n\nbacklogs = 7",
                 "y.toml:3: unknown key clients.backlogs; the nearest known is clients.backlog"},
@@ -72,9 +72,9 @@
         };
     }
 
-    @Test(dataProvider = "faulty")
-    public void aFaultIsToldWithFileLineAndPath(String text, String told) {
-        List<String> lines = faults(
+    @Test(dataProvider = "invalidFiles")
+    public void errorNamesFileLineAndKey(String text, String expectedError) {
+        List<String> lines = errorLines(
             text.contains("0.45") ? text.replace("0.45", "0.45\nanew_part = 0.6") : text);
         if (text.contains("0.45")) {
             assertTrue(lines.get(0).startsWith("y.toml:3: ledger.anew_part and ledger.live_part: together"),
@@ -82,51 +82,53 @@
             return;
         }
         assertEquals(lines.size(), 1, lines.toString());
-        assertTrue(lines.get(0).startsWith("y.toml:") && lines.get(0).contains(told), lines.toString());
+        assertTrue(lines.get(0).startsWith("y.toml:") && lines.get(0).contains(expectedError),
+            lines.toString());
     }
 
     @Test
-    public void allFaultsAreToldAtOnceInTheirOrder() {
-        List<String> lines = faults(
+    public void allErrorsAreReportedInOrderOfLines() {
+        List<String> lines = errorLines(
             "[log]\nlevel = 3\n[clients]\nbacklog = 0\nid_mots = 9\n[nothing]\nx = 1\n");
-        assertEquals(lines.stream().map(l -> l.split(":")[1]).toList(), List.of("2", "4", "5", "6"),
+        assertEquals(lines.stream().map(line -> line.split(":")[1]).toList(), List.of("2", "4", "5", "6"),
             lines.toString());
     }
 
     @Test
-    public void theEdgesOfEachRangeAreTakenAndWhatIsPastThemIsNot() throws ConfigurationException {
+    public void boundsOfEachRangeAreAcceptedAndValuesBeyondAreRejected() throws ConfigurationException {
         for (Key key : OperatorKeys.all()) {
             if (key.type == ValueType.CHOICE) {
                 continue;
             }
-            for (double edge : new double[]{key.minimum, key.maximum}) {
-                Object inside = key.type == ValueType.FRACTION ? (Object) edge : (Object) (long) edge;
-                // In its smallest unit, so that no edge is rounded.
-                String written = switch (key.type) {
-                    case DURATION -> "\"" + (long) edge + " us\"";
-                    case SIZE -> "\"" + (long) edge + " B\"";
-                    default -> key.type.format(inside);
+            for (double bound : new double[]{key.minimum, key.maximum}) {
+                Object expected = key.type == ValueType.FRACTION ? (Object) bound : (Object) (long) bound;
+                // In the smallest unit, so that the bound is not rounded.
+                String fileValue = switch (key.type) {
+                    case DURATION -> "\"" + (long) bound + " us\"";
+                    case SIZE -> "\"" + (long) bound + " B\"";
+                    default -> key.type.format(expected);
                 };
                 String text = "[" + key.table() + "]\n" + key.path.substring(key.path.indexOf('.') + 1)
                     + " = ";
                 try {
-                    assertEquals(read(text + written).value(key), inside);
-                } catch (ConfigurationException unfit) {
-                    // Taken by itself, though it does not go with another's default.
-                    assertTrue(unfit.getMessage().contains(" and "), unfit.getMessage());
+                    assertEquals(read(text + fileValue).value(key), expected);
+                } catch (ConfigurationException conflict) {
+                    // The value by itself is valid, but conflicts with the default of another key.
+                    assertTrue(conflict.getMessage().contains(" and "), conflict.getMessage());
                 }
-                double past = edge + (edge == key.minimum ? -1 : 1);
-                if (past >= 0) {
-                    String wrong = key.type == ValueType.FRACTION ? String.valueOf(past) : written.replace(
-                        String.valueOf((long) edge), String.valueOf((long) past));
-                    assertTrue(faults(text + wrong).get(0).contains("should be from"), key.path);
+                double beyond = bound + (bound == key.minimum ? -1 : 1);
+                if (beyond >= 0) {
+                    String invalidValue = key.type == ValueType.FRACTION ? String.valueOf(beyond)
+                        : fileValue.replace(
+                            String.valueOf((long) bound), String.valueOf((long) beyond));
+                    assertTrue(errorLines(text + invalidValue).get(0).contains("should be from"), key.path);
                 }
             }
         }
     }
 
     @Test
-    public void whatIsShownAsInForceReadsBackTheSame() throws ConfigurationException {
+    public void effectiveFileReadsBackToTheSameSettings() throws ConfigurationException {
         OperatorSettings first = read(
             "[clients]\nrequest_within = \"1.234 s\"\nlinger_most = \"3000 B\"\nconnections = 12\n[log]\nform = \"json\"");
         OperatorSettings again = read(Reference.effective(first));
@@ -134,21 +136,21 @@
             assertEquals(again.value(key), first.value(key), key.path);
         }
         assertTrue(Reference.effective(first).contains("connections = 12   # y.toml:4"));
-        assertEquals(OperatorSettings.STANDARD.changedKeys(first, true),
+        assertEquals(OperatorSettings.DEFAULTS.changedKeys(first, true),
             List.of("clients.request_within", "clients.linger_most",
                 "log.form"));
-        assertEquals(OperatorSettings.STANDARD.changedKeys(first, false), List.of("clients.connections"));
+        assertEquals(OperatorSettings.DEFAULTS.changedKeys(first, false), List.of("clients.connections"));
     }
 
     @Test
-    public void theFileInDeployHasNoFaultAndSetsNothingAside() throws Exception {
+    public void exampleFileIsValidAndSetsOnlyDefaults() throws Exception {
         OperatorSettings deployed = OperatorFile.read("../deploy/yewpath.toml");
-        assertEquals(OperatorSettings.STANDARD.changedKeys(deployed, true), List.of());
-        assertEquals(OperatorSettings.STANDARD.changedKeys(deployed, false), List.of());
+        assertEquals(OperatorSettings.DEFAULTS.changedKeys(deployed, true), List.of());
+        assertEquals(OperatorSettings.DEFAULTS.changedKeys(deployed, false), List.of());
     }
 
     @Test
-    public void unreadableFilesAreToldAsSuch() throws Exception {
+    public void unreadableFileIsReported() throws Exception {
         assertEquals(
             expectThrows(ConfigurationException.class, () -> OperatorFile.read("/nowhere/y.toml"))
                 .errorLines(),
@@ -160,12 +162,12 @@
         Files.delete(bytes);
     }
 
-    /** Pages made from the catalogue and the list of events: what is written there is what the program knows. */
+    /** The generated pages are up to date with the keys and events of the program. */
     @Test
-    public void pagesAreThoseTheProgramMakes() throws Exception {
+    public void referencePagesAreUpToDate() throws Exception {
         assertEquals(Files.readString(Path.of("../docs/configuration.md")), Reference.markdown(),
-            "make it anew: bin/yewpath config keys --markdown");
+            "generate it again: bin/yewpath config keys --markdown");
         assertEquals(Files.readString(Path.of("../docs/events.md")), Event.markdown(),
-            "make it anew: bin/yewpath events --markdown");
+            "generate it again: bin/yewpath events --markdown");
     }
 }
--- a/relay/src/test/java/yewpath/events/EventsTest.java
+++ b/relay/src/test/java/yewpath/events/EventsTest.java
@@ -17,82 +17,88 @@
 import org.testng.annotations.Test;
 import org.tinylog.Level;
 
-/** Lines that hold whatever a client sent, floods, and a reader of the log that does not read. */
+/** Log lines with hostile content, rate limiting of events, and a standard error that nobody reads. */
 public final class EventsTest {
-    private static final String[] ONE = {"id"};
+    private static final String[] ID_FIELD = {"id"};
 
     @Test
-    public void whatComesFromOutsideStaysOneLineOfReadableJson() throws IOException {
-        String bad = "a\"b\\c\n\r\u0000\u001b[2J\u007f\u0085\u2028\ud800x\u00e9";
+    public void hostileContentStaysOneLineOfValidJson() throws IOException {
+        String hostileId = "a\"b\\c\n\r\u0000\u001b[2J\u007f\u0085\u2028\ud800x\u00e9";
         for (boolean json : new boolean[]{true, false}) {
-            String line = LineFormat.of(json, Instant.EPOCH, Level.INFO, "envelope.taken",
-                LineFormat.fields(ONE, bad));
+            String line = LineFormat.formatLine(json, Instant.EPOCH, Level.INFO, "envelope.taken",
+                LineFormat.formatFields(ID_FIELD, hostileId));
             assertEquals(line.indexOf('\n'), line.length() - 1, line);
-            assertTrue(line.chars().allMatch(c -> c == '\n' || c >= ' ' && c < 127), line);
-            try (JsonParser at = new JsonFactory().createParser(line.substring(line.indexOf('{')))) {
+            assertTrue(
+                line.chars().allMatch(character -> character == '\n' || character >= ' ' && character < 127),
+                line);
+            try (JsonParser parser = new JsonFactory().createParser(line.substring(line.indexOf('{')))) {
                 String id = null;
-                while (at.nextToken() != null) {
-                    id = "id".equals(at.currentName()) ? at.getText() : id;
+                while (parser.nextToken() != null) {
+                    id = "id".equals(parser.currentName()) ? parser.getText() : id;
                 }
-                assertEquals(id, bad);
+                assertEquals(id, hostileId);
             }
         }
     }
 
     @Test
-    public void longTextsAreCut() {
-        assertTrue(LineFormat.fields(ONE, "x".repeat(100_000)).length() < 300);
+    public void longTextsAreTruncated() {
+        assertTrue(LineFormat.formatFields(ID_FIELD, "x".repeat(100_000)).length() < 300);
     }
 
     @Test
-    public void aFloodIsCountedAndSummedUpAndOtherEventsGoOn() {
-        EventRateLimiter flood = new EventRateLimiter();
+    public void frequentEventIsSuppressedAndCountedWithoutAffectingOthers() {
+        EventRateLimiter limiter = new EventRateLimiter();
         int written = 0;
         for (int i = 0; i < 1000; i++) {
-            written += flood.admits(Event.CLIENT_EVICTED, 20, 1_000_000L * i / 2) ? 1 : 0;
+            written += limiter.tryAcquire(Event.CLIENT_EVICTED, 20, 1_000_000L * i / 2) ? 1 : 0;
         }
         assertEquals(written, 20);
-        assertTrue(flood.admits(Event.ENDPOINT_UNHEALTHY, 20, 500_000_000L));
-        List<String> told = new ArrayList<>();
-        flood.sums(900_000_000L, false, (event, count) -> told.add(event.label + " " + count));
-        assertEquals(told, List.of(), "its second is not over");
-        flood.sums(1_000_000_000L, false, (event, count) -> told.add(event.label + " " + count));
-        assertEquals(told, List.of("client.evicted 980"));
-        assertTrue(flood.admits(Event.CLIENT_EVICTED, 20, 1_000_000_001L), "the next second begins anew");
+        assertTrue(limiter.tryAcquire(Event.ENDPOINT_UNHEALTHY, 20, 500_000_000L));
+        List<String> reported = new ArrayList<>();
+        limiter.reportSuppressed(900_000_000L, false,
+            (event, count) -> reported.add(event.label + " " + count));
+        assertEquals(reported, List.of(), "the second of the event has not ended");
+        limiter.reportSuppressed(1_000_000_000L, false,
+            (event, count) -> reported.add(event.label + " " + count));
+        assertEquals(reported, List.of("client.evicted 980"));
+        assertTrue(limiter.tryAcquire(Event.CLIENT_EVICTED, 20, 1_000_000_001L),
+            "the next second allows lines again");
     }
 
     @Test
-    public void aReaderThatDoesNotReadHoldsNobodyUpAndWhatIsDroppedIsCounted() throws Exception {
-        CountDownLatch reads = new CountDownLatch(1);
-        ByteArrayOutputStream read = new ByteArrayOutputStream();
-        OutputStream stuck = new OutputStream() {
+    public void blockedOutputDoesNotBlockLoggingAndDroppedLinesAreCounted() throws Exception {
+        CountDownLatch outputUnblocked = new CountDownLatch(1);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        OutputStream blockedOutput = new OutputStream() {
             @Override
-            public void write(int b) {
+            public void write(int singleByte) {
                 throw new UnsupportedOperationException();
             }
 
             @Override
             public void write(byte[] bytes) throws IOException {
                 try {
-                    reads.await(10, TimeUnit.SECONDS);
+                    outputUnblocked.await(10, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
-                read.write(bytes);
+                output.write(bytes);
             }
         };
-        LinesWriter writer = new LinesWriter(stuck);
-        int said = 3 * Log.queueMost();
-        for (int i = 0; i < said; i++) {
-            writer.put("line\n");
+        LinesWriter writer = new LinesWriter(blockedOutput);
+        int queued = 3 * Log.maxQueuedLines();
+        for (int i = 0; i < queued; i++) {
+            writer.enqueue("line\n");
         }
         assertFalse(writer.isEmpty());
-        long dropped = writer.droppedSoFar();
-        assertTrue(dropped >= said - Log.queueMost() - 1, "dropped " + dropped);
-        reads.countDown();
+        long dropped = writer.droppedLines();
+        assertTrue(dropped >= queued - Log.maxQueuedLines() - 1, "dropped " + dropped);
+        outputUnblocked.countDown();
         while (!writer.isEmpty()) {
             Thread.sleep(5);
         }
-        assertEquals(read.size() / 5 + dropped, said, "each line is written or counted");
+        assertEquals(output.size() / 5 + dropped, queued,
+            "each line is either written or counted as dropped");
     }
 }
