--- a/relay/src/main/java/yewpath/intake/ClientConnection.java
+++ b/relay/src/main/java/yewpath/intake/ClientConnection.java
@@ -13,107 +13,131 @@
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
 
-/** One client's connection: reads a request, waits for its answer, then reads the next. */
+/** The connection of one client. Reads a request, sends its response, then reads the next request. */
 final class ClientConnection implements Link.Owner {
-    /** One that waits for its answer is never closed for want of room. */
-    static final int NEEDED = 4;
-    private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n"
+    /**
+     * The eviction cost of a connection that waits for a response: it is never closed to make room for
+     * another.
+     */
+    static final int NOT_EVICTABLE = 4;
+    private static final int COST_OF_INCOMPLETE_REQUEST = 3;
+    private static final int COST_OF_NEW_CONNECTION = 2;
+    private static final int COST_OF_RECENT_REQUEST = 1;
+    private static final byte[] CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n"
         .getBytes(StandardCharsets.ISO_8859_1);
 
     private final Loop loop;
     private final Limits limits;
     private final MessageIntake intake;
-    private final Consumer<ClientConnection> left;
+    private final Consumer<ClientConnection> closeHandler;
     private final Parser parser;
     private final Link link;
-    private final long connectedAt;
-    private long since;
-    private int skipped;
-    private boolean asked;
-    private boolean answering;
-    private boolean leaving;
-    private boolean told;
+    private final long connectedAtMicros;
+    /** Time of the last change: connected, request begun, request complete, response sent, or refused. */
+    private long lastActivityMicros;
+    private int discardedBytes;
+    private boolean hasSentRequest;
+    private boolean responsePending;
+    /**
+     * The last response has been written; input is read and discarded until the client or a limit ends it.
+     */
+    private boolean lingering;
+    private boolean continueSent;
 
+    /**
+     * Starts to read from an accepted connection.
+     *
+     * @param closeHandler called once the connection is closed
+     */
     ClientConnection(Loop loop, Limits limits, MessageIntake intake, StreamConnection connection,
-        Consumer<ClientConnection> left) {
+        Consumer<ClientConnection> closeHandler) {
         this.loop = loop;
         this.limits = limits;
         this.intake = intake;
-        this.left = left;
+        this.closeHandler = closeHandler;
         parser = new Parser(true, limits.headMost(), limits.bodyMost());
-        connectedAt = since = loop.now();
+        connectedAtMicros = lastActivityMicros = loop.now();
         link = new Link(connection, limits.ringFirst(), limits.ringMost(), this);
     }
 
-    private boolean isBetween() {
-        return !answering && parser.untouched() && link.in.size() == 0;
+    private boolean isBetweenRequests() {
+        return !responsePending && parser.untouched() && link.in.size() == 0;
     }
 
     /**
-     * How much it would be missed. Guards against those that connect and say nothing, or ask once and stay, taking
-     * the room of the others: clients that mean to ask do so at once, and a close after 2 s is expected.
+     * Returns how costly closing this connection would be, from 0 to {@link #NOT_EVICTABLE}. Clients that
+     * connect and send nothing, or stay connected after a request, must not use up the connections of the
+     * others: a client that wants to send a request does so at once, and clients expect an idle connection to
+     * be closed after 2 s.
      */
-    int missed(long now) {
-        if (answering) {
-            return NEEDED;
+    int evictionCost(long nowMicros) {
+        if (responsePending) {
+            return NOT_EVICTABLE;
         }
-        if (!isBetween()) {
-            return 3;
+        if (!isBetweenRequests()) {
+            return COST_OF_INCOMPLETE_REQUEST;
         }
-        long quiet = now - since;
-        return quiet > (asked ? limits.idleLeast() : limits.speechWithin()) ? 0 : asked ? 1 : 2;
+        long idleMicros = nowMicros - lastActivityMicros;
+        return idleMicros > (hasSentRequest ? limits.idleLeast() : limits.speechWithin()) ? 0
+            : hasSentRequest ? COST_OF_RECENT_REQUEST : COST_OF_NEW_CONNECTION;
     }
 
-    /** Whether a last look finds nothing that would make it missed more. */
-    boolean restsStill(long now) {
-        int before = missed(now);
+    /** Reads what has been received meanwhile; returns whether the eviction cost is still the same. */
+    boolean hasSameEvictionCostAfterReading(long nowMicros) {
+        int costBefore = evictionCost(nowMicros);
         link.look();
-        return link.isClosed() || missed(now) == before;
+        return link.isClosed() || evictionCost(nowMicros) == costBefore;
     }
 
+    /** Returns the time of the last activity in microseconds of the loop's clock. */
     long quietSince() {
-        return since;
+        return lastActivityMicros;
     }
 
-    void checkTime(long now) {
-        long waited = now - since;
-        if (leaving && waited > limits.lingerFor()) {
+    /** Closes the connection or refuses its request if one of the timeouts has expired. */
+    void checkTimeouts(long nowMicros) {
+        long elapsedMicros = nowMicros - lastActivityMicros;
+        if (lingering && elapsedMicros > limits.lingerFor()) {
             close(CloseReason.REFUSED);
-        } else if (!link.allWritten() && waited > limits.requestWithin()) {
+        } else if (!link.allWritten() && elapsedMicros > limits.requestWithin()) {
             close(CloseReason.ANSWER_NOT_READ);
-        } else if (!leaving && isBetween() && waited > (asked ? limits.clientIdle() : limits.silentFor())
-            && restsStill(now)) {
+        } else if (!lingering && isBetweenRequests()
+            && elapsedMicros > (hasSentRequest ? limits.clientIdle() : limits.silentFor())
+            && hasSameEvictionCostAfterReading(nowMicros)) {
             close(CloseReason.IDLE);
-        } else if (!leaving && !answering && !isBetween()
-            && now - (asked ? since : connectedAt) > limits.requestWithin()) {
+        } else if (!lingering && !responsePending && !isBetweenRequests()
+            && nowMicros - (hasSentRequest ? lastActivityMicros : connectedAtMicros) > limits
+                .requestWithin()) {
             refuse(408);
         }
     }
 
     /**
-     * Ends a connection on which nothing is under way, after a last look: a client whose request this closing crosses
-     * knows that it was not read, and sends it once more. One that only just connected is given time to speak.
+     * Closes the connection if it is idle, after reading what has been received meanwhile. A client whose
+     * request crosses the close can conclude that the request was not read, and repeat it. A new connection
+     * is left open for the time in which a client normally sends its first request.
      */
-    void endIfResting(long now) {
-        if (!asked && now - connectedAt < limits.speechWithin()) {
+    void closeIfIdle(long nowMicros) {
+        if (!hasSentRequest && nowMicros - connectedAtMicros < limits.speechWithin()) {
             return;
         }
         link.look();
-        if (!leaving && !link.isClosed() && isBetween()) {
+        if (!lingering && !link.isClosed() && isBetweenRequests()) {
             close(CloseReason.SHUTDOWN);
         }
     }
 
     /**
-     * The last that is done for it: what it has sent a part of is refused, and read on like any other that was. One whose
-     * answer is due has it in the next round.
+     * The last step of a shutdown: closes an idle connection and refuses an incomplete request with status
+     * 503. A connection that waits for a response is left alone, since the response follows in the next
+     * round.
      */
-    void end() {
+    void closeUnlessResponsePending() {
         link.look();
-        if (answering || leaving || link.isClosed()) {
+        if (responsePending || lingering || link.isClosed()) {
             return;
         }
-        if (isBetween()) {
+        if (isBetweenRequests()) {
             close(CloseReason.SHUTDOWN);
         } else {
             refuse(503);
@@ -122,99 +146,102 @@
 
     @Override
     public void came() {
-        if (leaving) {
-            skipped += link.in.size();
+        if (lingering) {
+            discardedBytes += link.in.size();
             link.in.skip(link.in.size());
-            if (skipped > limits.lingerMost()) {
-                // It had time to see its answer; reading all that some would send keeps the others waiting.
+            if (discardedBytes > limits.lingerMost()) {
+                // The client had time to receive the response; reading unlimited input would delay the other
+                // clients.
                 close(CloseReason.REFUSED);
             }
             return;
         }
         try {
-            while (!answering && !leaving && !link.isClosed() && link.in.size() > 0) {
-                since = parser.untouched() ? loop.now() : since;
+            while (!responsePending && !lingering && !link.isClosed() && link.in.size() > 0) {
+                lastActivityMicros = parser.untouched() ? loop.now() : lastActivityMicros;
                 if (!parser.read(link.in)) {
-                    sayContinue();
+                    sendContinue();
                     return;
                 }
-                answering = asked = true;
-                since = loop.now();
-                request();
+                responsePending = hasSentRequest = true;
+                lastActivityMicros = loop.now();
+                handleRequest();
             }
         } catch (HttpFault fault) {
             refuse(fault.status);
         }
     }
 
-    private void sayContinue() {
-        if (!told && parser.headKnown() && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
-            told = true;
-            link.write(CONTINUE);
+    private void sendContinue() {
+        if (!continueSent && parser.headKnown() && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
+            continueSent = true;
+            link.write(CONTINUE_RESPONSE);
         }
     }
 
     @Override
     public void over(boolean broken) {
-        if (!broken && leaving && !link.allWritten()) {
-            // It has ended its sending only, and may still read its answer; who doesn't is closed when its time is up.
+        if (!broken && lingering && !link.allWritten()) {
+            // The client ended only its sending direction and may still read the response; a timeout closes
+            // the connection if it does not.
             return;
         }
-        // A client ends its connection when it waits no longer: a request whose answer is due is then void.
+        // A client that ends its connection no longer waits: a request without a response is void.
         close(broken ? CloseReason.RESET : CloseReason.ENDED);
     }
 
+    /** Closes the connection at once and informs the close handler. */
     void close(CloseReason reason) {
         if (Log.isEnabled(Event.CLIENT_CLOSED)) {
-            Log.log(Event.CLIENT_CLOSED, reason, answering);
+            Log.log(Event.CLIENT_CLOSED, reason, responsePending);
         }
         link.close();
-        left.accept(this);
+        closeHandler.accept(this);
     }
 
-    private void request() {
+    private void handleRequest() {
         String path = parser.target().split("\\?", 2)[0];
         if (path.equals("/health/ready") || path.equals("/health/live") || path.equals("/stats")) {
             if (!parser.method().equals("GET")) {
-                answer(Writer.answer(405).with("Allow", "GET"), new byte[0]);
+                respond(Writer.answer(405).with("Allow", "GET"), new byte[0]);
             } else if (path.equals("/stats")) {
-                answer(Writer.answer(200).with("Content-Type", "application/json"),
+                respond(Writer.answer(200).with("Content-Type", "application/json"),
                     intake.statistics());
             } else {
-                answer(Writer.answer(path.equals("/health/live") || intake.isReady() ? 200 : 503),
+                respond(Writer.answer(path.equals("/health/live") || intake.isReady() ? 200 : 503),
                     new byte[0]);
             }
             return;
         }
-        String offering = path.startsWith("/") ? path.substring(1).split("/", 2)[0] : "";
-        if (!intake.isKnownClass(offering)) {
-            answer(404);
+        String messageClass = path.startsWith("/") ? path.substring(1).split("/", 2)[0] : "";
+        if (!intake.isKnownClass(messageClass)) {
+            respondWithError(404);
         } else if (!parser.method().equals("POST")) {
-            answer(Writer.answer(405).with("Allow", "POST"), new byte[0]);
+            respond(Writer.answer(405).with("Allow", "POST"), new byte[0]);
         } else {
-            envelope(offering);
+            submitMessage(messageClass);
         }
     }
 
-    private void envelope(String offering) {
+    private void submitMessage(String messageClass) {
         String id = parser.header("Request-Id");
-        long within = Fields.micros(parser.header("Request-Timeout"));
-        String destination = Fields.destination(parser.header("X-Addressing"));
-        if (id == null || id.isEmpty() || id.length() > limits.idMost() || within < 0
+        long timeoutMicros = HeaderFields.parseMicros(parser.header("Request-Timeout"));
+        String destination = HeaderFields.parseDestination(parser.header("X-Addressing"));
+        if (id == null || id.isEmpty() || id.length() > limits.idMost() || timeoutMicros < 0
             || destination == null) {
-            answer(400);
+            respondWithError(400);
             return;
         }
-        intake.submit(id, offering, parser.header("Tenant"), parser.header("Affinity-Key"),
+        intake.submit(id, messageClass, parser.header("Tenant"), parser.header("Affinity-Key"),
             parser.header("Idempotency-Key"),
-            destination, within, parser.takeBody(), new MessageIntake.Reply() {
+            destination, timeoutMicros, parser.takeBody(), new MessageIntake.Reply() {
                 @Override
-                public boolean send(int status, long pause) {
-                    Writer answer = Writer.answer(status);
-                    if (pause > 0) {
-                        answer.with("Retry-After", Fields.seconds(pause));
+                public boolean send(int status, long retryAfterMicros) {
+                    Writer response = Writer.answer(status);
+                    if (retryAfterMicros > 0) {
+                        response.with("Retry-After", HeaderFields.formatSeconds(retryAfterMicros));
                     }
-                    answer(answer, new byte[0]);
+                    respond(response, new byte[0]);
                     return !link.isClosed();
                 }
 
@@ -225,41 +252,48 @@
             });
     }
 
-    private void answer(int status) {
+    private void respondWithError(int status) {
         Log.log(Event.CLIENT_REFUSED, status);
-        answer(Writer.answer(status), new byte[0]);
+        respond(Writer.answer(status), new byte[0]);
     }
 
-    private void answer(Writer answer, byte[] body) {
+    private void respond(Writer response, byte[] body) {
         if (link.isClosed()) {
             return;
         }
-        boolean last = !parser.lasting() || intake.isClosing();
-        if (last) {
-            answer.with("Connection", "close");
+        boolean isLastResponse = !parser.lasting() || intake.isClosing();
+        if (isLastResponse) {
+            response.with("Connection", "close");
         }
-        link.write(answer.done(body));
-        answering = told = false;
-        since = loop.now();
+        link.write(response.done(body));
+        responsePending = continueSent = false;
+        lastActivityMicros = loop.now();
         parser.next();
-        if (last) {
-            leave();
+        if (isLastResponse) {
+            startLingering();
         } else if (link.in.size() > 0) {
             loop.thread().execute(this::came);
         }
         link.readOn();
     }
 
+    /**
+     * Sends an error response to a request that is invalid or incomplete; the connection can't be used after
+     * that.
+     */
     private void refuse(int status) {
         Log.log(Event.CLIENT_REFUSED, status);
         link.write(Writer.answer(status).with("Connection", "close").empty());
-        leave();
+        startLingering();
     }
 
-    /** Reads on for a moment: closing at once on unread bytes would take the answer back off the wire. */
-    private void leave() {
-        leaving = true;
-        since = loop.now();
+    /**
+     * Ends the sending direction and reads on for a while. Closing the connection while received bytes are
+     * unread would reset it, and the client could lose the response.
+     */
+    private void startLingering() {
+        lingering = true;
+        lastActivityMicros = loop.now();
         link.in.skip(link.in.size());
         link.endSending();
         link.readOn();
--- a/relay/src/main/java/yewpath/intake/ClientListener.java
+++ b/relay/src/main/java/yewpath/intake/ClientListener.java
@@ -18,7 +18,7 @@
 import yewpath.loop.Limits;
 import yewpath.loop.Loop;
 
-/** Where clients connect; holds a bounded number of them and closes those that stay too long. */
+/** Accepts the connections of clients, limits their number and closes those whose timeouts have expired. */
 public final class ClientListener {
     private final Loop loop;
     private final Limits limits;
@@ -26,122 +26,143 @@
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private XnioWorker worker;
     private AcceptingChannel<StreamConnection> listener;
-    private boolean shut;
+    private boolean acceptingStopped;
 
-    /** Hands requests to the intake; nothing is open yet. */
+    /**
+     * Creates a listener that submits messages to {@code intake}; it accepts nothing before {@link #listen}.
+     */
     public ClientListener(Loop loop, Limits limits, MessageIntake intake) {
         this.loop = loop;
         this.limits = limits;
         this.intake = intake;
     }
 
-    /** Listens at an address and returns the one that it got. */
-    public InetSocketAddress listen(XnioWorker by, InetSocketAddress at) throws IOException {
-        worker = by;
-        listener = worker.createStreamConnectionServer(at, this::accept, OptionMap.builder()
+    /**
+     * Starts to accept connections.
+     *
+     * @return the local address, with the port that was assigned if {@code address} has port 0
+     * @throws IOException if the address can't be bound
+     */
+    public InetSocketAddress listen(XnioWorker acceptWorker, InetSocketAddress address) throws IOException {
+        worker = acceptWorker;
+        listener = worker.createStreamConnectionServer(address, this::accept, OptionMap.builder()
             .set(Options.REUSE_ADDRESSES, true).set(Options.TCP_NODELAY, true)
             .set(Options.BACKLOG, limits.backlog())
-            // Guards against a rush of connects using up all descriptors before one of them could be closed again.
+            // Without this limit, many connects at once would use up all descriptors before a connection is
+            // evicted.
             .set(Options.CONNECTION_HIGH_WATER, limits.clientLinks() + limits.acceptAhead())
             .set(Options.CONNECTION_LOW_WATER, limits.clientLinks() + limits.acceptAhead() / 2).getMap());
         listener.resumeAccepts();
-        sweep();
+        checkTimeouts();
         return listener.getLocalAddress(InetSocketAddress.class);
     }
 
-    private void accept(AcceptingChannel<StreamConnection> from) {
+    private void accept(AcceptingChannel<StreamConnection> channel) {
         try {
-            for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
-                enter(c);
+            for (StreamConnection connection = channel.accept(); connection != null; connection = channel
+                .accept()) {
+                add(connection);
             }
         } catch (IOException e) {
             Log.log(Event.CLIENT_ACCEPT_FAILED, e.getMessage());
         }
     }
 
-    private void enter(StreamConnection connection) {
+    private void add(StreamConnection connection) {
         if (connections.size() >= limits.clientLinks()) {
-            leastBusy();
+            evictOne();
         }
         connections.add(new ClientConnection(loop, limits, intake, connection, connections::remove));
     }
 
     /**
-     * Full: the one that can be missed most goes, after a last look. Guards against a rush that is let in faster than it
-     * is read: closed with its request unread, a client's connection is reset, and what it had handed in is lost.
+     * Closes the connection with the lowest eviction cost, after reading what it has received meanwhile.
+     * Connections may be accepted faster than their requests are read, and closing one with an unread request
+     * would reset it and lose the client's message.
      */
-    private void leastBusy() {
+    private void evictOne() {
         long now = loop.now();
-        for (ClientConnection goes = leastMissed(now); goes != null; goes = leastMissed(now)) {
-            if (goes.restsStill(now)) {
-                Log.log(Event.CLIENT_EVICTED, (now - goes.quietSince()) / 1000, connections.size());
-                goes.close(CloseReason.MAKE_ROOM);
+        for (ClientConnection candidate = cheapestToEvict(
+            now); candidate != null; candidate = cheapestToEvict(
+                now)) {
+            if (candidate.hasSameEvictionCostAfterReading(now)) {
+                Log.log(Event.CLIENT_EVICTED, (now - candidate.quietSince()) / 1000, connections.size());
+                candidate.close(CloseReason.MAKE_ROOM);
                 return;
             }
         }
     }
 
-    /** Of several the longest quiet; null where each waits for its answer. */
-    private ClientConnection leastMissed(long now) {
-        ClientConnection goes = null;
-        int least = ClientConnection.NEEDED;
+    /**
+     * Returns the connection with the lowest cost, of several the longest idle; null if all wait for a
+     * response.
+     */
+    private ClientConnection cheapestToEvict(long now) {
+        ClientConnection cheapest = null;
+        int lowestCost = ClientConnection.NOT_EVICTABLE;
         for (ClientConnection connection : connections) {
-            int missed = connection.missed(now);
-            if (missed < least
-                || goes != null && missed == least && connection.quietSince() < goes.quietSince()) {
-                goes = connection;
-                least = missed;
+            int cost = connection.evictionCost(now);
+            if (cost < lowestCost
+                || cheapest != null && cost == lowestCost
+                    && connection.quietSince() < cheapest.quietSince()) {
+                cheapest = connection;
+                lowestCost = cost;
             }
         }
-        return goes;
+        return cheapest;
     }
 
-    /** Ends the connections that rest between two requests; the others have their answer first. */
+    /** Closes the connections that are idle between two requests; the others get their responses first. */
     public void closeIdle() {
         long now = loop.now();
-        new ArrayList<>(connections).forEach(connection -> connection.endIfResting(now));
+        new ArrayList<>(connections).forEach(connection -> connection.closeIfIdle(now));
     }
 
     /**
-     * Lets in whom the system has already connected, and listens no longer. Guards against those: ended with the
-     * listener, their connections would be reset with their requests unread. The thread that accepts does so when
-     * woken, and is asked for its count after that; what it answers comes later than all that it has let in.
+     * Accepts the connections that the operating system has already completed, then closes the listening
+     * socket. Closing it earlier would reset these connections with their requests unread. The accepting
+     * thread accepts when it is woken up, and is then asked for its connection count: its answer comes after
+     * everything that it has accepted.
      */
-    // XNIO has no other call that lets the accepting thread look once more.
+    // XNIO has no other call that makes the accepting thread accept once more.
     @SuppressWarnings("deprecation")
     public void stopAccepting() {
         listener.wakeupAccepts();
         worker.execute(() -> {
             worker.getMXBean().getServerMXBeans().forEach(XnioServerMXBean::getConnectionCount);
-            loop.thread().execute(this::listenNoMore);
+            loop.thread().execute(this::closeListeningSocket);
         });
     }
 
-    private void listenNoMore() {
+    private void closeListeningSocket() {
         if (connections.size() >= limits.clientLinks()) {
-            // Full, it let in only some: as soon as one has left, the next.
+            // At the limit, some completed connections may still wait: accept them as soon as others have
+            // closed.
             loop.after(limits.sweepEvery() / 10, this::stopAccepting);
             return;
         }
         IoUtils.safeClose(listener);
-        shut = true;
+        acceptingStopped = true;
     }
 
-    /** Whether nobody is left and nobody can come. */
+    /** Whether all connections are closed and no further ones are accepted. */
     public boolean isDrained() {
-        return shut && connections.isEmpty();
+        return acceptingStopped && connections.isEmpty();
     }
 
-    /** Ends all but those whose answer is due, whatever they wait for. */
+    /**
+     * Closes all connections but those that wait for a response; incomplete requests are refused with status
+     * 503.
+     */
     public void closeRemaining() {
-        new ArrayList<>(connections).forEach(ClientConnection::end);
+        new ArrayList<>(connections).forEach(ClientConnection::closeUnlessResponsePending);
     }
 
-    private void sweep() {
+    private void checkTimeouts() {
         long now = loop.now();
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            connection.checkTime(now);
+            connection.checkTimeouts(now);
         }
-        loop.after(limits.sweepEvery(), this::sweep);
+        loop.after(limits.sweepEvery(), this::checkTimeouts);
     }
 }
--- a/relay/src/main/java/yewpath/intake/package-info.java
+++ b/relay/src/main/java/yewpath/intake/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The server side towards clients: accepting connections, reading requests within limits, and answering
- * them.
+ * The HTTP server for clients: accepts connections, reads requests within the configured limits, submits
+ * their messages and writes the responses.
  */
 package yewpath.intake;
