--- a/relay/src/main/java/yewpath/command/Main.java
+++ b/relay/src/main/java/yewpath/command/Main.java
@@ -19,119 +19,120 @@
 import yewpath.wirehost.WireHost;
 
 /**
- * The command line. Exit codes: 0 done; 1 what was asked for went wrong; 2 the words or a file could not be
- * understood, and nothing was started.
+ * The command line. Exit codes: 0 success; 1 the command failed; 2 the arguments or a file were invalid, and
+ * nothing was started.
  */
 public final class Main {
-    /** Where a relay reads what it is told. */
-    private static class Told {
-        @Parameter(names = "--config", description = "The platform's configuration (JSON); $NODE_CONFIG where absent")
+    /** The files that configure a relay. */
+    private static class ConfigurationOptions {
+        @Parameter(names = "--config", description = "The platform's JSON configuration; default: $NODE_CONFIG")
         String config;
-        @Parameter(names = "--operator", description = "The operator's file (TOML); without it all is at its default")
+        @Parameter(names = "--operator", description = "The operator's TOML file; default: no file")
         String operator;
     }
 
-    @Parameters(commandDescription = "Run one relay on sockets until SIGTERM; SIGHUP reads both files anew")
-    private static final class ServeWord extends Told {}
+    @Parameters(commandDescription = "Run one relay on sockets until SIGTERM; SIGHUP reloads both files")
+    private static final class ServeCommand extends ConfigurationOptions {}
 
-    @Parameters(commandDescription = "Start once on a free port with an empty folder, take one envelope, end")
-    private static final class CheckWord extends Told {}
+    @Parameters(commandDescription = "Test a start: free port, empty folder, one message, then stop")
+    private static final class CheckCommand extends ConfigurationOptions {}
 
-    @Parameters(commandDescription = "The operator's file: check one, show what is in force, list all keys")
-    private static final class ConfigWord {}
+    @Parameters(commandDescription = "The operator's file: check it, show the values in use, list all keys")
+    private static final class ConfigCommand {}
 
-    @Parameters(commandDescription = "Look for faults in a file, all of them at once")
-    private static final class ConfigCheckWord {
+    @Parameters(commandDescription = "Report all errors of a file")
+    private static final class ConfigCheckCommand {
         @Parameter(description = "FILE", required = true)
-        List<String> file = new ArrayList<>();
+        List<String> files = new ArrayList<>();
     }
 
-    @Parameters(commandDescription = "The values in force, each with where it comes from")
-    private static final class ConfigShowWord {
+    @Parameters(commandDescription = "Print all values and where each comes from")
+    private static final class ConfigShowCommand {
         @Parameter(description = "[FILE]")
-        List<String> file = new ArrayList<>();
+        List<String> files = new ArrayList<>();
     }
 
-    private static class Page {
-        @Parameter(names = "--markdown", description = "As the page under docs/")
+    private static class PageOptions {
+        @Parameter(names = "--markdown", description = "Print the page under docs/")
         boolean markdown;
     }
 
-    @Parameters(commandDescription = "Every key with its default, range and meaning")
-    private static final class ConfigKeysWord extends Page {}
+    @Parameters(commandDescription = "Print every key with its default, range and meaning")
+    private static final class ConfigKeysCommand extends PageOptions {}
 
-    @Parameters(commandDescription = "Every event that the log can hold")
-    private static final class EventsWord extends Page {}
+    @Parameters(commandDescription = "Print every event that the log can contain")
+    private static final class EventsCommand extends PageOptions {}
 
-    @Parameters(commandDescription = "Speak the simulator's wire on standard input and output")
-    private static final class WireHostWord {}
+    @Parameters(commandDescription = "Serve the simulator's protocol on standard input and output")
+    private static final class WireHostCommand {}
 
     @Parameters(commandDescription = "Print the version")
-    private static final class VersionWord {}
+    private static final class VersionCommand {}
 
     @Parameter(names = {"-h",
-        "--help"}, help = true, description = "Print this; after a command, its options")
+        "--help"}, help = true, description = "Print this help; after a command, print its options")
     private boolean help;
 
     private Main() {}
 
-    /** Runs one command; the exit codes stand in the README. */
+    /** Runs one command; the class comment lists the exit codes. */
     public static void main(String[] args) throws Exception {
-        boolean serves = args.length > 0 && args[0].equals("serve");
-        // Ahead of all that takes time.
-        ProcessSignals signals = serves ? ProcessSignals.listen() : null;
+        boolean isServe = args.length > 0 && args[0].equals("serve");
+        // First of all, so that signals during the start are not lost.
+        ProcessSignals signals = isServe ? ProcessSignals.listen() : null;
         Main main = new Main();
-        ServeWord serve = new ServeWord();
-        CheckWord check = new CheckWord();
-        EventsWord events = new EventsWord();
-        ConfigCheckWord configCheck = new ConfigCheckWord();
-        ConfigShowWord configShow = new ConfigShowWord();
-        ConfigKeysWord configKeys = new ConfigKeysWord();
-        JCommander line = JCommander.newBuilder().programName("yewpath").addObject(main)
+        ServeCommand serve = new ServeCommand();
+        CheckCommand check = new CheckCommand();
+        EventsCommand events = new EventsCommand();
+        ConfigCheckCommand configCheck = new ConfigCheckCommand();
+        ConfigShowCommand configShow = new ConfigShowCommand();
+        ConfigKeysCommand configKeys = new ConfigKeysCommand();
+        JCommander parser = JCommander.newBuilder().programName("yewpath").addObject(main)
             .addCommand("serve", serve).build();
-        // Each further word costs a start some reading of its annotations: a relay that comes back needs one.
-        if (!serves) {
-            line.addCommand("check", check);
-            line.addCommand("config", new ConfigWord());
-            line.addCommand("events", events);
-            line.addCommand("wirehost", new WireHostWord());
-            line.addCommand("version", new VersionWord());
-            JCommander config = line.getCommands().get("config");
+        // Reading the annotations of the other commands would slow the start of a relay.
+        if (!isServe) {
+            parser.addCommand("check", check);
+            parser.addCommand("config", new ConfigCommand());
+            parser.addCommand("events", events);
+            parser.addCommand("wirehost", new WireHostCommand());
+            parser.addCommand("version", new VersionCommand());
+            JCommander config = parser.getCommands().get("config");
             config.addCommand("check", configCheck);
             config.addCommand("show", configShow);
             config.addCommand("keys", configKeys);
         }
-        JCommander asked = helpFor(line, args);
-        if (asked != null) {
-            asked.usage();
-            if (asked == line) {
+        JCommander helpTarget = findHelpTarget(parser, args);
+        if (helpTarget != null) {
+            helpTarget.usage();
+            if (helpTarget == parser) {
                 System.out.println(
-                    "  Exit codes: 0 done; 1 it went wrong; 2 the words or a file were not understood.");
+                    "  Exit codes: 0 success; 1 the command failed; 2 the arguments or a file were invalid.");
             }
             System.exit(0);
         }
         try {
-            line.parse(args);
+            parser.parse(args);
         } catch (ParameterException e) {
-            fail(e.getMessage() + " (yewpath --help lists what there is)");
+            fail(e.getMessage() + " (yewpath --help lists the commands and options)");
         }
-        if (line.getParsedCommand() == null) {
-            fail("a command is missing (yewpath --help lists them)");
+        if (parser.getParsedCommand() == null) {
+            fail("no command is given (yewpath --help lists the commands)");
         }
-        switch (line.getParsedCommand()) {
+        switch (parser.getParsedCommand()) {
             case "serve" -> serve(serve, signals);
             case "check" -> check(check);
             case "config" -> {
-                JCommander config = line.getCommands().get("config");
+                JCommander config = parser.getCommands().get("config");
                 if (config.getParsedCommand() == null) {
-                    fail("config needs one of check, show and keys");
+                    fail("config needs one of the commands check, show and keys");
                 }
                 switch (config.getParsedCommand()) {
                     case "check" -> {
-                        operator(one(configCheck.file));
-                        System.out.println(one(configCheck.file) + ": no fault");
+                        readOperatorFile(onlyFile(configCheck.files));
+                        System.out.println(onlyFile(configCheck.files) + ": no errors");
                     }
-                    case "show" -> System.out.print(Reference.effective(operator(one(configShow.file))));
+                    case "show" ->
+                        System.out.print(Reference.effective(readOperatorFile(onlyFile(configShow.files))));
                     default ->
                         System.out.print(configKeys.markdown ? Reference.markdown() : Reference.text());
                 }
@@ -142,21 +143,25 @@
         }
     }
 
-    /** The command after whose words help is asked for; null where it is not. Asked before all else: what is missing does not matter then. */
-    private static JCommander helpFor(JCommander line, String[] args) {
-        JCommander at = line;
+    /**
+     * Returns the command for which the arguments request help, or null if they don't. Called before the
+     * arguments are parsed, so that missing arguments are no error then.
+     */
+    private static JCommander findHelpTarget(JCommander parser, String[] args) {
+        JCommander command = parser;
         for (String arg : args) {
             if (arg.equals("-h") || arg.equals("--help")) {
-                return at;
+                return command;
             }
-            at = at.getCommands().getOrDefault(arg, at);
+            command = command.getCommands().getOrDefault(arg, command);
         }
         return null;
     }
 
-    private static void serve(Told told, ProcessSignals signals) throws InterruptedException {
+    private static void serve(ConfigurationOptions options, ProcessSignals signals)
+        throws InterruptedException {
         try {
-            RelayServer.start(Config.read(told.config, told.operator, System.getenv()), signals);
+            RelayServer.start(Config.read(options.config, options.operator, System.getenv()), signals);
         } catch (IOException | Config.Fault e) {
             fail(e.getMessage());
         } catch (RuntimeException | Error e) {
@@ -164,29 +169,29 @@
         }
     }
 
-    private static void check(Told told) throws Exception {
+    private static void check(ConfigurationOptions options) throws Exception {
         try {
-            System.out.println(TrialStart.run(told.config, told.operator, System.getenv()));
+            System.out.println(TrialStart.run(options.config, options.operator, System.getenv()));
             System.exit(0);
         } catch (IOException | Config.Fault e) {
             fail(e.getMessage());
         }
     }
 
-    private static OperatorSettings operator(String file) {
+    private static OperatorSettings readOperatorFile(String file) {
         try {
             return OperatorFile.read(file);
-        } catch (ConfigurationException faults) {
-            faults.errorLines().forEach(System.err::println);
+        } catch (ConfigurationException invalid) {
+            invalid.errorLines().forEach(System.err::println);
             System.exit(2);
             throw new IllegalStateException();
         }
     }
 
-    /** Null for none. */
-    private static String one(List<String> files) {
+    /** Returns the single file of the arguments, null if there is none; more than one is an error. */
+    private static String onlyFile(List<String> files) {
         if (files.size() > 1) {
-            fail("one file is enough, not " + files.size());
+            fail("expected at most one file, got " + files.size());
         }
         return files.isEmpty() ? null : files.get(0);
     }
@@ -201,6 +206,7 @@
         }
     }
 
+    /** Prints an error message and ends the process with exit code 2. */
     private static void fail(String message) {
         for (String line : String.valueOf(message).split("\n")) {
             System.err.println("yewpath: " + line.replaceAll("\\s+", " "));
@@ -209,7 +215,7 @@
     }
 
     private static String version() {
-        String told = Main.class.getPackage().getImplementationVersion();
-        return told == null ? "unpackaged" : told;
+        String version = Main.class.getPackage().getImplementationVersion();
+        return version == null ? "unpackaged" : version;
     }
 }
--- a/relay/src/main/java/yewpath/command/package-info.java
+++ b/relay/src/main/java/yewpath/command/package-info.java
@@ -1,2 +1,5 @@
-/** The command line: what a word starts, its options, its exit codes. Does nothing itself. */
+/**
+ * The command line: commands, their options and the exit codes. The commands are implemented in other
+ * packages.
+ */
 package yewpath.command;
