--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,35 +1,35 @@
 #!/bin/sh
-# Starts one relay with a heap that fits the memory its configuration tells: a fixed one is killed where less is
-# given. Two fifths leave room for the virtual machine itself, some 50 MB. The heap is whole from the start, so that
-# what a relay takes does not grow with its age.
+# Starts one relay. The heap is two fifths of memory_mb in the configuration: with a fixed size, a relay with less memory
+# would be killed. The rest is for the virtual machine itself, which needs about 50 MB. The heap is allocated
+# completely at the start, so that the memory usage of a relay does not grow over time.
 #
-# Only the shell's own words until `exec`: where a platform lets a relay be one process, starting `sed` or a subshell
-# is refused and with it the relay's start. For the same reason the virtual machine opens no socket for tools that
-# attach, and no socket of another kind than IPv4.
+# The script uses only shell built-ins before `exec`: a platform may limit a relay to one process, and starting `sed` or
+# a subshell would then fail and prevent the start. For the same reason the virtual machine opens no socket for attach
+# tools, and only IPv4 sockets.
 set -eu
 cd "${0%/*}/.."
 config=${NODE_CONFIG:-}
-told=
-seen=
+memory_mb=
+key_found=
 if [ -f "$config" ] && [ -r "$config" ]; then
-    # Cut at JSON's own signs and looked at piece by piece: a pattern over a whole line takes the square of its length,
-    # 47 s where a thousand endpoints stand ahead of the figure in one line.
+    # Lines are split at JSON's delimiters, since matching a pattern against a whole line takes quadratic time: 47 s for
+    # a line that lists a thousand endpoints before memory_mb.
     set -f
     while IFS= read -r line || [ -n "$line" ]; do
         IFS=',{}[]'
         for piece in $line; do
-            if [ -z "$seen" ]; then
+            if [ -z "$key_found" ]; then
                 case $piece in
-                    *'"memory_mb"'*) seen=1; piece=${piece#*'"memory_mb"'} ;;
+                    *'"memory_mb"'*) key_found=1; piece=${piece#*'"memory_mb"'} ;;
                     *) continue ;;
                 esac
             fi
             piece=${piece#"${piece%%[!:[:space:]]*}"}
-            [ -n "$piece" ] || continue     # the figure stands on a later line than its key
+            [ -n "$piece" ] || continue     # the number is on a later line than its key
             piece=${piece%%[!0-9.eE+-]*}
             case $piece in
-                *[eE-]*) ;;                 # 1.92e2 is JSON, but nothing the shell can count with
-                *) told=${piece%%.*} ;;
+                *[eE-]*) ;;                 # 1.92e2 is valid JSON, but the shell can't calculate with it
+                *) memory_mb=${piece%%.*} ;;
             esac
             break 2
         done
@@ -37,8 +37,8 @@
     set +f
     unset IFS
 fi
-heap=$((${told:-160} * 2 / 5))
-[ "$heap" -ge 8 ] || heap=8             # below, the virtual machine refuses its own options
+heap=$((${memory_mb:-160} * 2 / 5))
+[ "$heap" -ge 8 ] || heap=8             # with a smaller heap the virtual machine refuses the options below
 exec java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:SharedArchiveFile=relay/target/yewpath.jsa -Xshare:auto -Xlog:disable \
     -Xss256k -Xms"${heap}m" -Xmx"${heap}m" -XX:+AlwaysPreTouch -XX:MaxMetaspaceSize=40m -XX:ReservedCodeCacheSize=24m \
     -XX:MaxDirectMemorySize=8m -XX:-UsePerfData -XX:+DisableAttachMechanism -Djava.net.preferIPv4Stack=true \
