--- a/relay/src/main/java/yewpath/directory/DiscoveryClient.java
+++ b/relay/src/main/java/yewpath/directory/DiscoveryClient.java
@@ -7,7 +7,7 @@
 import yewpath.http.HttpMessageBuilder;
 import yewpath.http.HttpParser;
 import yewpath.http.OutboundConnection;
-import yewpath.json.Values;
+import yewpath.json.JsonObjectSplitter;
 import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
 
@@ -94,7 +94,8 @@
     private final class ResponseHandler implements OutboundConnection.ResponseHandler {
         private final OutboundConnection source;
         private final boolean isWatch;
-        private final Values values = new Values(this::objectReceived, this::emptyLineReceived);
+        private final JsonObjectSplitter values = new JsonObjectSplitter(this::objectReceived,
+            this::emptyLineReceived);
         private EventLoop.Timer silenceTimer;
         private final long requestedAtMicros = loop.nowMicros();
         private boolean headReceived;
@@ -137,7 +138,7 @@
          * has, the object may arrive separately from the head and in pieces.
          */
         private void answerWithoutChanges() {
-            if (!source.isClosed() && !values.isInside()) {
+            if (!source.isClosed() && !values.isIncomplete()) {
                 answeredWithoutList();
             }
         }
@@ -163,8 +164,8 @@
             silenceTimer.cancel();
             if (answer.status() == 200) {
                 feed(answer);
-                if (values.isInside()) {
-                    Log.tell(Event.DIRECTORY_GARBLED, "response ended in the middle of an object");
+                if (values.isIncomplete()) {
+                    Log.log(Event.DIRECTORY_INVALID, "response ended in the middle of an object");
                 }
             }
             source.close(CloseReason.NOT_REUSABLE);
@@ -187,7 +188,7 @@
             try {
                 values.feed(answer.removeBody(), limits.maxDiscoveryLineBytes());
             } catch (IllegalArgumentException invalid) {
-                Log.tell(Event.DIRECTORY_GARBLED, invalid.getMessage());
+                Log.log(Event.DIRECTORY_INVALID, invalid.getMessage());
                 source.close(CloseReason.MALFORMED_LIST);
             }
         }
@@ -225,7 +226,7 @@
         } else if (isWatch) {
             backoffMicros = Math.min(limits.maxRetryDelayMicros(),
                 Math.max(limits.initialRetryDelayMicros(), 2 * backoffMicros));
-            Log.tell(Event.DIRECTORY_LOST, backoffMicros / 1000);
+            Log.log(Event.DIRECTORY_WATCH_ENDED, backoffMicros / 1000);
             retryTimer = loop.schedule(backoffMicros, this::startWatch);
         }
     }
--- a/relay/src/main/java/yewpath/ledger/LedgerFile.java
+++ b/relay/src/main/java/yewpath/ledger/LedgerFile.java
@@ -67,7 +67,7 @@
             number++;
         } while (Files.exists(target, LinkOption.NOFOLLOW_LINKS));
         Files.move(path, target);
-        Log.tell(Event.LEDGER_SET_ASIDE, path.toString(), target.toString());
+        Log.log(Event.LEDGER_MOVED_ASIDE, path.toString(), target.toString());
     }
 
     /**
@@ -149,7 +149,7 @@
         try {
             Files.deleteIfExists(temporaryPath);
         } catch (IOException e) {
-            Log.tell(Event.LEDGER_LEFTOVER, temporaryPath.toString(), e);
+            Log.log(Event.LEDGER_LEFTOVER, temporaryPath.toString(), e);
         }
     }
 
@@ -179,7 +179,7 @@
             channel.close();
         } catch (IOException e) {
             // No data is lost: earlier writes either succeeded or were reported as failed.
-            Log.tell(Event.LIBRARY, "closing the ledger file failed", e);
+            Log.log(Event.LIBRARY, "closing the ledger file failed", e);
         }
     }
 
--- a/relay/src/main/java/yewpath/ledger/RecordFormat.java
+++ b/relay/src/main/java/yewpath/ledger/RecordFormat.java
@@ -81,7 +81,7 @@
             consumer.record(type, record);
         } catch (RuntimeException unknown) {
             // The checksum matches, so the record is not damaged: another version of the program wrote it.
-            Log.tell(Event.LEDGER_RECORD_SKIPPED, type, unknown);
+            Log.log(Event.LEDGER_RECORD_SKIPPED, type, unknown);
         }
     }
 
--- a/relay/src/main/java/yewpath/operator/OperatorFile.java
+++ b/relay/src/main/java/yewpath/operator/OperatorFile.java
@@ -1,55 +1,74 @@
 package yewpath.operator;
 
 import java.util.Map;
-import yewpath.configuration.Faults;
+import yewpath.configuration.ConfigurationException;
+import yewpath.configuration.FileSchema;
 import yewpath.configuration.Key;
-import yewpath.configuration.Shape;
+import yewpath.configuration.SettingValues;
 import yewpath.configuration.TomlFile;
-import yewpath.configuration.Values;
 
-/** Reads the operator's file and checks what must fit together in it. */
+/** Reads the operator's file and checks the conditions that involve several keys. */
 public final class OperatorFile {
-    private static final Shape SHAPE = new Shape(Catalogue.all(), Catalogue.tables(), Map.of(), null);
+    private static final FileSchema SCHEMA = new FileSchema(OperatorKeys.all(), OperatorKeys.tables(),
+        Map.of(),
+        null);
 
     private OperatorFile() {}
 
-    /** {@code path} may be null, which leaves all as it stands in the catalogue. */
-    public static Operator read(String path) throws Faults {
-        return path == null ? Operator.STANDARD
-            : new Operator(TomlFile.read(path, SHAPE, OperatorFile::together));
+    /**
+     * Reads a file.
+     *
+     * @param path the file; null returns the defaults
+     * @throws ConfigurationException if the file can't be read or contains errors; holds all of them
+     */
+    public static OperatorSettings read(String path) throws ConfigurationException {
+        return path == null ? OperatorSettings.DEFAULTS
+            : new OperatorSettings(TomlFile.read(path, SCHEMA, OperatorFile::checkKeyPairs));
     }
 
-    /** The same of a text that stands in no file; {@code name} is what faults call it. */
-    public static Operator parse(String name, String text) throws Faults {
-        return new Operator(TomlFile.parse(name, text, SHAPE, OperatorFile::together));
+    /**
+     * Reads the text of a file.
+     *
+     * @param fileName the file name that error messages show
+     * @throws ConfigurationException if the text contains errors; holds all of them
+     */
+    public static OperatorSettings parse(String fileName, String text) throws ConfigurationException {
+        return new OperatorSettings(TomlFile.parse(fileName, text, SCHEMA, OperatorFile::checkKeyPairs));
     }
 
-    /** Each fault at the line of a key that is told. */
-    private static void together(Values all, TomlFile.Fault fault) {
-        if (all.part(Catalogue.LEDGER_LIVE) + all.part(Catalogue.LEDGER_ANEW) > 0.98) {
-            unfit(all, fault, Catalogue.LEDGER_ANEW, Catalogue.LEDGER_LIVE,
+    /** Reports each violated condition at the line of one of its keys that the file sets. */
+    private static void checkKeyPairs(SettingValues values, TomlFile.ErrorReporter errors) {
+        if (values.fraction(OperatorKeys.LEDGER_LIVE_FRACTION)
+            + values.fraction(OperatorKeys.LEDGER_COMPACTION_FRACTION) > 0.98) {
+            reportPair(values, errors, OperatorKeys.LEDGER_COMPACTION_FRACTION,
+                OperatorKeys.LEDGER_LIVE_FRACTION,
                 "together exceed 0.98 of the disk");
         }
-        if (all.part(Catalogue.LEDGER_LIVE) >= all.part(Catalogue.LEDGER_ANEW)) {
-            unfit(all, fault, Catalogue.LEDGER_LIVE, Catalogue.LEDGER_ANEW,
-                "the first must be less, or the file is written anew each time");
+        if (values.fraction(OperatorKeys.LEDGER_LIVE_FRACTION) >= values
+            .fraction(OperatorKeys.LEDGER_COMPACTION_FRACTION)) {
+            reportPair(values, errors, OperatorKeys.LEDGER_LIVE_FRACTION,
+                OperatorKeys.LEDGER_COMPACTION_FRACTION,
+                "the first must be less than the second, or every write would compact the ledger");
         }
-        ordered(all, fault, Catalogue.RING_FIRST, Catalogue.RING_MOST);
-        ordered(all, fault, Catalogue.RETRY_FIRST, Catalogue.RETRY_MOST);
-        ordered(all, fault, Catalogue.DRAIN_FRESH, Catalogue.DRAIN_MOST);
-        ordered(all, fault, Catalogue.DRAIN_LEAST, Catalogue.DRAIN_MOST);
+        checkOrder(values, errors, OperatorKeys.BUFFER_INITIAL_BYTES, OperatorKeys.BUFFER_MAX_BYTES);
+        checkOrder(values, errors, OperatorKeys.DISCOVERY_MIN_RETRY_DELAY,
+            OperatorKeys.DISCOVERY_MAX_RETRY_DELAY);
+        checkOrder(values, errors, OperatorKeys.SHUTDOWN_ATTEMPT_PERIOD, OperatorKeys.SHUTDOWN_MAX_DURATION);
+        checkOrder(values, errors, OperatorKeys.SHUTDOWN_MIN_DURATION, OperatorKeys.SHUTDOWN_MAX_DURATION);
     }
 
-    private static void ordered(Values all, TomlFile.Fault fault, Key less, Key more) {
-        if (all.figure(less) > all.figure(more)) {
-            unfit(all, fault, less, more,
-                "the first exceeds the second (" + less.type.show(all.value(less)) + ", "
-                    + more.type.show(all.value(more)) + ")");
+    private static void checkOrder(SettingValues values, TomlFile.ErrorReporter errors, Key smaller,
+        Key larger) {
+        if (values.number(smaller) > values.number(larger)) {
+            reportPair(values, errors, smaller, larger,
+                "the first exceeds the second (" + smaller.type.format(values.value(smaller)) + ", "
+                    + larger.type.format(values.value(larger)) + ")");
         }
     }
 
-    private static void unfit(Values all, TomlFile.Fault fault, Key one, Key other, String why) {
-        fault.at(all.isTold(one) ? all.line(one) : all.line(other),
-            one.path + " and " + other.path + ": " + why);
+    private static void reportPair(SettingValues values, TomlFile.ErrorReporter errors, Key first, Key second,
+        String problem) {
+        errors.report(values.isSet(first) ? values.line(first) : values.line(second),
+            first.path + " and " + second.path + ": " + problem);
     }
 }
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -18,7 +18,7 @@
 import yewpath.events.Log;
 import yewpath.intake.ClientListener;
 import yewpath.intake.MessageIntake;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
 import yewpath.loop.EventLoop;
@@ -141,8 +141,8 @@
         int offering = boot.offerings.find(entry.messageClass);
         hand(envelopes.add(entry, loop.nowMicros()), offering < 0 ? unknownOffering : offering,
             boot.zones.of(entry.uncertainZone));
-        if (Log.tells(Event.ENVELOPE_RESTORED)) {
-            Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.attempts, entry.uncertainSinceMicros >= 0);
+        if (Log.isEnabled(Event.MESSAGE_RESTORED)) {
+            Log.log(Event.MESSAGE_RESTORED, entry.id, entry.attempts, entry.uncertainSinceMicros >= 0);
         }
     }
 
@@ -202,13 +202,13 @@
     }
 
     @Override
-    public boolean knows(String offering) {
+    public boolean isKnownClass(String offering) {
         return boot.offerings.find(offering) >= 0;
     }
 
     @Override
-    public byte[] figures() {
-        return Tokens.write(out -> {
+    public byte[] statistics() {
+        return Json.write(out -> {
             out.writeStartObject();
             out.writeNumberField("open", envelopes.open());
             out.writeNumberField("calls_out", delivery.callsOut());
@@ -221,14 +221,14 @@
             out.writeNumberField("fulfilled", fulfilledEver);
             out.writeNumberField("deferred", deferredEver);
             out.writeNumberField("aborted", abortedEver);
-            out.writeNumberField("log_dropped", Log.dropped());
+            out.writeNumberField("log_dropped", Log.droppedLines());
             out.writeEndObject();
             out.writeRaw('\n');
         });
     }
 
     @Override
-    public void handIn(String id, String offering, String tenant, String key, String tag, String destination,
+    public void submit(String id, String offering, String tenant, String key, String tag, String destination,
         long within, byte[] body, Reply reply) {
         long expiry = loop.nowMicros() + within;
         loop.enqueue(() -> take(id, offering, tenant, key, tag, destination, expiry, body, reply));
@@ -236,12 +236,12 @@
 
     private void take(String id, String offering, String tenant, String key, String tag, String destination,
         long expiry, byte[] body, Reply reply) {
-        if (reply.clientLeft()) {
+        if (reply.isClientGone()) {
             return;
         }
         if (envelopes.has(id)) {
             // Already taken on under this id: its end is owed once, and is.
-            reply.with(202, 0);
+            reply.send(202, 0);
             return;
         }
         LedgerEntry entry = ledger.createEntry(id, offering, tenant, key, tag, destination, expiry, body);
@@ -260,8 +260,8 @@
         one.reply = reply;
         taken.add(one);
         takenEver++;
-        if (Log.tells(Event.ENVELOPE_TAKEN)) {
-            Log.tell(Event.ENVELOPE_TAKEN, id, offering, tenant, destination,
+        if (Log.isEnabled(Event.MESSAGE_ACCEPTED)) {
+            Log.log(Event.MESSAGE_ACCEPTED, id, offering, tenant, destination,
                 (expiry - loop.nowMicros()) / 1000,
                 body.length);
         }
@@ -269,10 +269,10 @@
     }
 
     private void refuse(String id, String why, Reply reply) {
-        if (Log.tells(Event.ENVELOPE_REFUSED)) {
-            Log.tell(Event.ENVELOPE_REFUSED, id, why);
+        if (Log.isEnabled(Event.MESSAGE_REFUSED)) {
+            Log.log(Event.MESSAGE_REFUSED, id, why);
         }
-        reply.with(503, tellsPause ? logic.resubmitDelayMicros() : 0);
+        reply.send(503, tellsPause ? logic.resubmitDelayMicros() : 0);
     }
 
     /** The first thing to leave in a round: that envelopes handed in are taken on. */
@@ -285,7 +285,7 @@
     private void answerClient(HeldMessage one) {
         Reply reply = one.reply;
         one.reply = null;
-        if (!one.over && !reply.with(202, 0)) {
+        if (!one.over && !reply.send(202, 0)) {
             // It may hand the envelope in again under another id.
             one.left = true;
             loop.enqueue(() -> withdraw(one));
@@ -294,7 +294,7 @@
 
     private void withdraw(HeldMessage one) {
         if (!one.over) {
-            Log.tell(Event.ENVELOPE_WITHDRAWN, one.entry.id);
+            Log.log(Event.MESSAGE_WITHDRAWN, one.entry.id);
         }
         letGo(one);
     }
@@ -401,8 +401,8 @@
         @Override
         public void leaving() {
             ledger.recordAttempt(one.entry, loop.nowMicros(), endpoints.zone(endpoint));
-            if (Log.tells(Event.ENVELOPE_SHOT)) {
-                Log.tell(Event.ENVELOPE_SHOT, one.entry.id, number, endpoints.name(endpoint));
+            if (Log.isEnabled(Event.ATTEMPT_STARTED)) {
+                Log.log(Event.ATTEMPT_STARTED, one.entry.id, number, endpoints.name(endpoint));
             }
         }
 
@@ -432,7 +432,7 @@
                     outcome == OVERLOADED || outcome == UNREACHABLE || outcome == NOT_EXECUTED);
             }
             one.call = null;
-            if (Log.tells(Event.ENVELOPE_BACK)) {
+            if (Log.isEnabled(Event.ATTEMPT_FAILED)) {
                 tellEnd(outcome, wait, over, elapsed);
             }
             logic.attemptEnded(one.index, over || one.over, number, endpoint, outcome, wait, elapsed, left,
@@ -446,10 +446,10 @@
 
         private void tellEnd(int outcome, long wait, boolean over, long elapsed) {
             if (over) {
-                Log.tell(Event.ENVELOPE_FULFILLED, one.entry.id, number, endpoints.name(endpoint),
+                Log.log(Event.MESSAGE_DELIVERED, one.entry.id, number, endpoints.name(endpoint),
                     elapsed / 1000);
             } else {
-                Log.tell(Event.ENVELOPE_BACK, one.entry.id, number, endpoints.name(endpoint),
+                Log.log(Event.ATTEMPT_FAILED, one.entry.id, number, endpoints.name(endpoint),
                     OUTCOMES[outcome],
                     elapsed / 1000, wait / 1000);
             }
@@ -479,7 +479,7 @@
 
     @Override
     public void endpointHealthChanged(int endpoint, boolean well) {
-        Log.tell(well ? Event.ENDPOINT_WELL : Event.ENDPOINT_SICK, endpoints.name(endpoint));
+        Log.log(well ? Event.ENDPOINT_HEALTHY : Event.ENDPOINT_UNHEALTHY, endpoints.name(endpoint));
     }
 
     // ---- Ends
@@ -501,15 +501,15 @@
             return;
         }
         if (handedBack) {
-            Log.tell(Event.ENVELOPE_HANDED_BACK, one.entry.id, pause / 1000);
+            Log.log(Event.MESSAGE_REJECTED, one.entry.id, pause / 1000);
         } else {
-            Log.tell(Event.ENVELOPE_GIVEN_UP, one.entry.id);
+            Log.log(Event.MESSAGE_FAILED, one.entry.id);
         }
         envelopes.end(one, loop.nowMicros());
         if (one.reply != null) {
             Reply reply = one.reply;
             ledger.recordCompleted(one.entry);
-            acts.add(() -> reply.with(handedBack ? 503 : 500, pause));
+            acts.add(() -> reply.send(handedBack ? 503 : 500, pause));
         } else {
             ledger.recordNoticeOwed(one.entry, handedBack, pause);
             acts.add(() -> owe(one.entry));
@@ -550,7 +550,7 @@
     // ---- Closing
 
     void close(ClientListener listener, CountDownLatch gone) {
-        Log.tell(Event.RELAY_CLOSING, envelopes.open(), delivery.callsOut());
+        Log.log(Event.RELAY_CLOSING, envelopes.open(), delivery.callsOut());
         closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isSending(),
             () -> envelopes.open() > 0,
             gone);
@@ -559,6 +559,6 @@
     /** The last words, once closing is done. */
     void closed() {
         ledger.compact();
-        Log.tell(Event.RELAY_CLOSED, ledger.size(), delivery.callsOut());
+        Log.log(Event.RELAY_CLOSED, ledger.size(), delivery.callsOut());
     }
 }
--- a/relay/src/main/java/yewpath/relay/Shutdown.java
+++ b/relay/src/main/java/yewpath/relay/Shutdown.java
@@ -60,28 +60,28 @@
         long beat = limits.minShutdownMicros() / 10;
         long closingFor = now - since;
         if (stage != Stage.REFUSING) {
-            listener.endResting();
+            listener.closeIdle();
         }
         switch (stage) {
             case REFUSING -> {
                 if (closingFor >= limits.minShutdownMicros()) {
                     stage = Stage.FINISHING;
-                    listener.endResting();
+                    listener.closeIdle();
                 }
             }
             case FINISHING -> {
                 boolean waits = underWay.getAsBoolean() || held.getAsBoolean() && mayShoot(now);
                 if (!waits || closingFor >= limits.maxShutdownCallWaitMicros()) {
                     stage = Stage.SHUTTING;
-                    listener.shut();
+                    listener.stopAccepting();
                 }
             }
             default -> {
                 // Ahead of the bound, so that who is refused now has read its answer by then.
                 if (closingFor >= limits.shutdownTimeoutMicros() - 3 * beat) {
-                    listener.endAll();
+                    listener.closeRemaining();
                 }
-                if (listener.isEmpty() || closingFor >= limits.shutdownTimeoutMicros()) {
+                if (listener.isDrained() || closingFor >= limits.shutdownTimeoutMicros()) {
                     stage = Stage.GONE;
                     gone.countDown();
                     return;
