--- a/lab/src/main/java/yewpath/lab/Starts.java
+++ b/lab/src/main/java/yewpath/lab/Starts.java
@@ -22,7 +22,7 @@
 import yewpath.standins.peer.Endpoint;
 import yewpath.standins.peer.Platform;
 import yewpath.standins.process.RelayConfig;
-import yewpath.standins.referee.Accounts;
+import yewpath.standins.referee.DeliveryReferee;
 
 /**
  * Starts of relays from several checkouts in turn, A B A B: time until ready, memory, and the CPU that a load costs.
@@ -80,7 +80,7 @@
 
     private Figures one(Path checkout) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("yewpath-starts");
-        Accounts accounts = new Accounts(10 * SECOND, SECOND);
+        DeliveryReferee accounts = new DeliveryReferee(10 * SECOND, SECOND);
         try (Reactor reactor = new Reactor(failure -> say.println("a stand-in failed: " + failure))) {
             List<Endpoint> endpoints = new ArrayList<>();
             Platform platform = new Platform(reactor, accounts, endpoints);
@@ -88,14 +88,14 @@
             for (int i = 0; i < destinations; i++) {
                 endpoints.add(new Endpoint(reactor, accounts, "e" + i, i, "plain", rate,
                     "0 s: answer 200 after 5 ms", chance.split(),
-                    platform::tell));
+                    platform::publishList));
             }
-            String discovery = platform.openAmong(endpoints);
+            String discovery = platform.openWithEndpoints(endpoints);
             InetSocketAddress at = freeAddress();
             Path config = folder.resolve("config.json");
             RelayConfig.write(config, at, discovery, folder.resolve("state"),
-                List.of(new RelayConfig.Offering("status", "pure", false, 2_000, 8_000)),
-                RelayConfig.Told.USUAL);
+                List.of(new RelayConfig.MessageClass("status", "pure", false, 2_000, 8_000)),
+                RelayConfig.RelaySettings.DEFAULT);
             ProcessBuilder builder = new ProcessBuilder("sh", "deploy/run.sh").directory(checkout.toFile())
                 .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
             builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
@@ -115,7 +115,8 @@
                 double readyCpu = proc.cpuMs();
                 load(reactor, accounts, new Client(reactor, accounts, at));
                 double cpu = proc.cpuMs() - readyCpu;
-                long fulfilled = accounts.all().stream().filter(one -> one.end == Accounts.End.FULFILLED)
+                long fulfilled = accounts.messages().stream()
+                    .filter(one -> one.state == DeliveryReferee.DeliveryState.DELIVERED)
                     .count();
                 return new Figures(readyMs, readyCpu, proc.residentMb(), cpu * 1000 / envelopes, fulfilled);
             } finally {
@@ -133,12 +134,12 @@
         }
     }
 
-    private void load(Reactor reactor, Accounts accounts, Client client) throws InterruptedException {
-        long begun = reactor.now();
-        reactor.run(() -> next(reactor, client, begun, new int[1]));
+    private void load(Reactor reactor, DeliveryReferee accounts, Client client) throws InterruptedException {
+        long begun = reactor.nowMicros();
+        reactor.execute(() -> next(reactor, client, begun, new int[1]));
         for (int waited = 0; waited < 30_000; waited += 20) {
             Thread.sleep(20);
-            if (reactor.call(() -> accounts.all().size() == envelopes && accounts.open() == 0)) {
+            if (reactor.call(() -> accounts.messages().size() == envelopes && accounts.openCount() == 0)) {
                 return;
             }
         }
@@ -146,13 +147,14 @@
 
     /** On its schedule, whatever becomes of those before. */
     private void next(Reactor reactor, Client client, long begun, int[] count) {
-        while (count[0] < envelopes && begun + count[0] * SECOND / rate <= reactor.now()) {
-            client.handIn("s" + count[0], "status", Accounts.Kind.REPEATABLE, count[0] % destinations, null,
+        while (count[0] < envelopes && begun + count[0] * SECOND / rate <= reactor.nowMicros()) {
+            client.submit("s" + count[0], "status", DeliveryReferee.DeliverySemantics.IDEMPOTENT,
+                count[0] % destinations, null,
                 8 * SECOND, new byte[200]);
             count[0]++;
         }
         if (count[0] < envelopes) {
-            reactor.after(begun + count[0] * SECOND / rate - reactor.now(),
+            reactor.schedule(begun + count[0] * SECOND / rate - reactor.nowMicros(),
                 () -> next(reactor, client, begun, count));
         }
     }
--- a/lab/src/main/java/yewpath/lab/load/Live.java
+++ b/lab/src/main/java/yewpath/lab/load/Live.java
@@ -14,7 +14,7 @@
 import yewpath.standins.peer.Platform;
 import yewpath.standins.process.RelayConfig;
 import yewpath.standins.process.RelayProcess;
-import yewpath.standins.referee.Ear;
+import yewpath.standins.referee.PlatformObserver;
 
 /** One run on sockets. All of it but the relays lives on one reactor's thread. */
 public final class Live {
@@ -72,12 +72,12 @@
                 for (yewpath.lab.world.Station one : world.stations) {
                     stations.add(new SocketStation(this, one));
                 }
-                platform = new Platform(reactor, new Ear() {
+                platform = new Platform(reactor, new PlatformObserver() {
                     @Override
-                    public void listed(String endpoint, boolean open, long at) {}
+                    public void endpointListed(String endpoint, boolean open, long at) {}
 
                     @Override
-                    public void notice(String id, boolean handedBack, long pause, long at) {
+                    public void noticeReceived(String id, boolean handedBack, long pause, long at) {
                         act(() -> ended(id, handedBack, pause));
                     }
                 }, stations);
@@ -92,7 +92,7 @@
             }
             CountDownLatch over = new CountDownLatch(1);
             reactor.call(() -> {
-                begunAt = reactor.now();
+                begunAt = reactor.nowMicros();
                 world.begin();
                 world.calendar.at(world.end(), over::countDown);
                 arm();
@@ -102,7 +102,7 @@
             return reactor.call(world::close);
         } finally {
             for (RelayProcess process : processes) {
-                process.end();
+                process.terminate();
                 process.close();
             }
             reactor.close();
@@ -139,16 +139,17 @@
         return usage;
     }
 
-    private List<RelayConfig.Offering> offerings() {
-        return s.offerings.stream().map(o -> new RelayConfig.Offering(o.name(), switch (o.kind()) {
+    private List<RelayConfig.MessageClass> offerings() {
+        return s.offerings.stream().map(o -> new RelayConfig.MessageClass(o.name(), switch (o.kind()) {
             case "repeatable" -> "pure";
             case "tagged" -> "token";
             default -> "side_effect";
         }, o.ordered(), (int) (o.agreed() / 1000), (int) (o.expiry() / 1000))).toList();
     }
 
-    private RelayConfig.Told told(int index) {
-        return new RelayConfig.Told(s.relays, index, s.slots, s.hold, s.tries, s.connectTimeout / 1000,
+    private RelayConfig.RelaySettings told(int index) {
+        return new RelayConfig.RelaySettings(s.relays, index, s.slots, s.hold, s.tries,
+            s.connectTimeout / 1000,
             s.connectionIdle / 1000, s.coldFrom,
             s.coldFor / 1000, s.fallMultiple, s.fallFor / 1000, World.SETTLE / 1000, false, 192);
     }
@@ -157,7 +158,7 @@
 
     /** Brings the world to the present, lets something happen in it, and sees to what is due next. */
     void act(Runnable happens) {
-        world.calendar.playTo(reactor.now() - begunAt);
+        world.calendar.playTo(reactor.nowMicros() - begunAt);
         happens.run();
         arm();
     }
@@ -166,7 +167,7 @@
         long next = world.calendar.next();
         if (next < armedFor) {
             armedFor = next;
-            reactor.after(next - (reactor.now() - begunAt), () -> {
+            reactor.schedule(next - (reactor.nowMicros() - begunAt), () -> {
                 armedFor = Long.MAX_VALUE;
                 act(() -> stations.forEach(SocketStation::look));
             });
@@ -214,7 +215,7 @@
 
     /** The list as it stands, to all relays. */
     void tell() {
-        platform.tell();
+        platform.publishList();
     }
 
     /** A line of what a run came to. */
--- a/lab/src/main/java/yewpath/lab/load/SocketHost.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketHost.java
@@ -13,10 +13,10 @@
 import yewpath.lab.world.Shot;
 import yewpath.lab.world.Station;
 import yewpath.lab.world.World;
-import yewpath.standins.io.HttpReader;
-import yewpath.standins.io.Message;
+import yewpath.standins.io.Connection;
+import yewpath.standins.io.HttpMessage;
+import yewpath.standins.io.HttpParser;
 import yewpath.standins.io.Reactor;
-import yewpath.standins.io.Wire;
 import yewpath.standins.process.RelayProcess;
 
 /** A relay in a process of its own, with its clients' connections. */
@@ -77,7 +77,7 @@
     @Override
     public void handIn(Envelope e) {
         String key = e.key < 0 ? "X-None: 0" : "Affinity-Key: k" + e.key;
-        byte[] request = Message.bytes("POST /" + e.offering.name() + " HTTP/1.1", new byte[100],
+        byte[] request = HttpMessage.encode("POST /" + e.offering.name() + " HTTP/1.1", new byte[100],
             "Host: relay", "Request-Id: " + live.id(e, this),
             "Request-Timeout: " + (e.expiry - world.calendar.now()) + "u",
             "X-Addressing: dest=" + e.destination, "Tenant: demo", key);
@@ -155,9 +155,9 @@
     }
 
     /** One connection of a client. */
-    private final class Link implements Wire.Owner {
-        private final Wire wire;
-        private final HttpReader reader = new HttpReader();
+    private final class Link implements Connection.Handler {
+        private final Connection wire;
+        private final HttpParser reader = new HttpParser();
         private Envelope envelope;
         private byte[] request;
         private boolean kept;
@@ -172,7 +172,7 @@
             request = bytes;
             kept = onKept;
             open++;
-            patience = live.reactor.after(PATIENCE, () -> {
+            patience = live.reactor.schedule(PATIENCE, () -> {
                 close();
                 live.act(() -> world.crowd.unanswered(done()));
             });
@@ -180,7 +180,7 @@
         }
 
         private Envelope done() {
-            patience.callOff();
+            patience.cancel();
             Envelope e = envelope;
             envelope = null;
             open--;
@@ -188,9 +188,9 @@
         }
 
         @Override
-        public void came(ByteBuffer bytes) {
-            reader.take(bytes);
-            Message answer = reader.next();
+        public void received(ByteBuffer bytes) {
+            reader.append(bytes);
+            HttpMessage answer = reader.nextMessage();
             if (answer == null || envelope == null) {
                 return;
             }
@@ -218,7 +218,7 @@
         }
 
         @Override
-        public void over(boolean broken) {
+        public void closed(boolean broken) {
             close();
             if (envelope == null) {
                 return;
--- a/lab/src/main/java/yewpath/lab/load/SocketStation.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketStation.java
@@ -12,18 +12,18 @@
 import yewpath.lab.world.Envelope;
 import yewpath.lab.world.Shot;
 import yewpath.lab.world.Station;
-import yewpath.standins.io.HttpReader;
-import yewpath.standins.io.Message;
+import yewpath.standins.io.Connection;
+import yewpath.standins.io.HttpMessage;
+import yewpath.standins.io.HttpParser;
 import yewpath.standins.io.Reactor;
-import yewpath.standins.io.Wire;
-import yewpath.standins.peer.Listed;
+import yewpath.standins.peer.ListedEndpoint;
 
 /** An emulated endpoint behind a real port. */
-final class SocketStation implements Listed {
+final class SocketStation implements ListedEndpoint {
     private final Live live;
     private final Station station;
     private final Set<Visit> visits = new LinkedHashSet<>();
-    private Reactor.Port port;
+    private Reactor.ServerPort port;
     private InetSocketAddress address;
 
     SocketStation(Live live, Station station) throws IOException {
@@ -42,7 +42,7 @@
     void look() {
         boolean refuses = station.connects() != 0;
         if (refuses && port != null) {
-            port.shut();
+            port.close();
             port = null;
             new ArrayList<>(visits).forEach(Visit::reset);
         } else if (!refuses && port == null) {
@@ -85,31 +85,31 @@
     }
 
     /** One connection of a relay; a call at a time. */
-    private final class Visit implements Wire.Owner, SocketHost.Asker {
-        private final Wire wire;
-        private final HttpReader reader = new HttpReader();
+    private final class Visit implements Connection.Handler, SocketHost.Asker {
+        private final Connection wire;
+        private final HttpParser reader = new HttpParser();
         private Shot shot;
         private long firstByteAt = -1;
 
-        Visit(Wire wire) {
+        Visit(Connection wire) {
             this.wire = wire;
-            wire.own(this);
+            wire.setHandler(this);
             visits.add(this);
         }
 
         @Override
-        public void came(ByteBuffer bytes) {
+        public void received(ByteBuffer bytes) {
             if (firstByteAt < 0) {
-                firstByteAt = live.reactor.now();
+                firstByteAt = live.reactor.nowMicros();
             }
-            reader.take(bytes);
-            Message call = reader.next();
+            reader.append(bytes);
+            HttpMessage call = reader.nextMessage();
             if (call != null) {
                 live.act(() -> arrives(call));
             }
         }
 
-        private void arrives(Message call) {
+        private void arrives(HttpMessage call) {
             String id = String.valueOf(call.header("request-id"));
             Envelope e = live.envelope(id);
             if (e == null || e.destination != destination()) {
@@ -127,10 +127,11 @@
             shot = null;
             firstByteAt = -1;
             switch (outcome) {
-                case Egress.FULFILLED -> wire.write(Message.answer(200));
-                case Egress.ERROR -> wire.write(Message.answer(500));
+                case Egress.FULFILLED -> wire.write(HttpMessage.encodeResponse(200));
+                case Egress.ERROR -> wire.write(HttpMessage.encodeResponse(500));
                 case Egress.FULL -> wire.write(
-                    pause > 0 ? Message.answer(429, "Retry-After: " + pause / 1e6) : Message.answer(503));
+                    pause > 0 ? HttpMessage.encodeResponse(429, "Retry-After: " + pause / 1e6)
+                        : HttpMessage.encodeResponse(503));
                 default -> {
                     wire.reset();
                     visits.remove(this);
@@ -161,7 +162,7 @@
         }
 
         @Override
-        public void over(boolean broken) {
+        public void closed(boolean broken) {
             wire.close();
             gone();
         }
--- a/relay/src/test/java/yewpath/FaultsTest.java
+++ b/relay/src/test/java/yewpath/FaultsTest.java
@@ -17,21 +17,22 @@
 import yewpath.standins.peer.Platform;
 import yewpath.standins.process.RelayConfig;
 import yewpath.standins.process.RelayProcess;
-import yewpath.standins.referee.Accounts;
-import yewpath.standins.referee.Accounts.Kind;
+import yewpath.standins.referee.DeliveryReferee;
+import yewpath.standins.referee.DeliveryReferee.DeliverySemantics;
 
 /** Whole runs among stand-ins with faults by script: whatever happens, the accounts find no rule broken. */
 public final class FaultsTest {
     private static final long MS = 1_000, S = 1_000_000;
-    private static final List<RelayConfig.Offering> OFFERINGS = List.of(
-        new RelayConfig.Offering("status", "pure", false, 800, 3_000),
-        new RelayConfig.Offering("serial", "token", true, 800, 3_000),
-        new RelayConfig.Offering("order", "side_effect", false, 800, 3_000));
-    private static final List<Kind> KINDS = List.of(Kind.REPEATABLE, Kind.TAGGED, Kind.ONCE_ONLY);
+    private static final List<RelayConfig.MessageClass> OFFERINGS = List.of(
+        new RelayConfig.MessageClass("status", "pure", false, 800, 3_000),
+        new RelayConfig.MessageClass("serial", "token", true, 800, 3_000),
+        new RelayConfig.MessageClass("order", "side_effect", false, 800, 3_000));
+    private static final List<DeliverySemantics> KINDS = List.of(DeliverySemantics.IDEMPOTENT,
+        DeliverySemantics.DEDUPLICATED, DeliverySemantics.AT_MOST_ONCE);
     private final List<Throwable> failures = new CopyOnWriteArrayList<>();
     private final SplittableRandom chance = new SplittableRandom(7);
     private Reactor reactor;
-    private Accounts accounts;
+    private DeliveryReferee accounts;
     private List<Endpoint> endpoints;
     private Platform platform;
     private int handedIn;
@@ -41,7 +42,7 @@
         failures.clear();
         handedIn = 0;
         reactor = new Reactor(failures::add);
-        accounts = new Accounts(10 * S, S / 2);
+        accounts = new DeliveryReferee(10 * S, S / 2);
         endpoints = new ArrayList<>();
         platform = new Platform(reactor, accounts, endpoints);
     }
@@ -55,7 +56,7 @@
     private void endpoint(String name, int destination, String script) {
         endpoints.add(new Endpoint(reactor, accounts, name, destination,
             destination == 2 ? "bundled" : "plain", 100, script,
-            chance.split(), platform::tell));
+            chance.split(), platform::publishList));
     }
 
     @DataProvider
@@ -88,14 +89,14 @@
     }
 
     private void play(long length, int killAfterMs) throws Exception {
-        String at = platform.openAmong(endpoints);
+        String at = platform.openWithEndpoints(endpoints);
         List<String> command = new ArrayList<>(Stand.yewpath().command());
         try (RelayProcess relay = new RelayProcess(command, at, 0, OFFERINGS,
-            RelayConfig.Told.USUAL, List.of())) {
+            RelayConfig.RelaySettings.DEFAULT, List.of())) {
             Client client = new Client(reactor, accounts, relay.address);
-            reactor.run(() -> {
-                endpoints.forEach(Endpoint::begin);
-                next(client, reactor.now() + 2 * length);
+            reactor.execute(() -> {
+                endpoints.forEach(Endpoint::startScript);
+                next(client, reactor.nowMicros() + 2 * length);
             });
             if (killAfterMs > 0) {
                 Stand.pause(killAfterMs);
@@ -103,28 +104,29 @@
                 relay.start();
             }
             Stand.until("all handed in", 15_000, () -> reactor.call(() -> handedIn) >= length / 5_000);
-            Stand.until("each has its end", 15_000, () -> reactor.call(() -> accounts.open()) == 0);
-            assertEquals(relay.end(), 0);
+            Stand.until("each has its end", 15_000, () -> reactor.call(() -> accounts.openCount()) == 0);
+            assertEquals(relay.terminate(), 0);
         }
         reactor.call(() -> {
-            accounts.close(reactor.now());
+            accounts.checkLost(reactor.nowMicros());
             return null;
         });
-        assertTrue(accounts.broken().isEmpty(), String.join("\n", accounts.broken()));
+        assertTrue(accounts.violations().isEmpty(), String.join("\n", accounts.violations()));
         // A run in which nothing was delivered would show nothing.
-        long fulfilled = accounts.all().stream().filter(one -> one.end == Accounts.End.FULFILLED).count();
+        long fulfilled = accounts.messages().stream()
+            .filter(one -> one.state == DeliveryReferee.DeliveryState.DELIVERED).count();
         assertTrue(fulfilled > handedIn / 3, fulfilled + " of " + handedIn);
     }
 
     /** One envelope each 5 ms whatever becomes of the others. */
     private void next(Client client, long until) {
-        if (reactor.now() < until && handedIn < 400) {
+        if (reactor.nowMicros() < until && handedIn < 400) {
             int which = chance.nextInt(3);
-            client.handIn("f" + handedIn++, OFFERINGS.get(which).name(), KINDS.get(which),
+            client.submit("f" + handedIn++, OFFERINGS.get(which).name(), KINDS.get(which),
                 1 + chance.nextInt(2),
                 which == 1 ? "k" + chance.nextInt(10) : null, 3 * S,
                 new byte[chance.nextInt(20) == 0 ? 40_000 : 100]);
-            reactor.after(5 * MS, () -> next(client, until));
+            reactor.schedule(5 * MS, () -> next(client, until));
         }
     }
 }
--- a/standins/src/main/java/yewpath/standins/demo/Demo.java
+++ b/standins/src/main/java/yewpath/standins/demo/Demo.java
@@ -14,9 +14,9 @@
 import yewpath.standins.peer.Platform;
 import yewpath.standins.process.RelayConfig;
 import yewpath.standins.process.RelayProcess;
-import yewpath.standins.referee.Accounts;
-import yewpath.standins.referee.Accounts.End;
-import yewpath.standins.referee.Accounts.Kind;
+import yewpath.standins.referee.DeliveryReferee;
+import yewpath.standins.referee.DeliveryReferee.DeliverySemantics;
+import yewpath.standins.referee.DeliveryReferee.DeliveryState;
 
 /**
  * The demonstration: three offerings to four destinations, of which one fails and returns, one asks to wait and one is
@@ -24,15 +24,16 @@
  */
 final class Demo {
     private static final long SECOND = 1_000_000, LOAD = 8 * SECOND, EXPIRY = 6 * SECOND;
-    private static final List<RelayConfig.Offering> OFFERINGS = List.of(
-        new RelayConfig.Offering("status", "pure", false, 1_000, 6_000),
-        new RelayConfig.Offering("serial", "token", true, 2_000, 6_000),
-        new RelayConfig.Offering("order", "side_effect", false, 2_000, 6_000));
-    private static final List<Kind> KINDS = List.of(Kind.REPEATABLE, Kind.TAGGED, Kind.ONCE_ONLY);
+    private static final List<RelayConfig.MessageClass> OFFERINGS = List.of(
+        new RelayConfig.MessageClass("status", "pure", false, 1_000, 6_000),
+        new RelayConfig.MessageClass("serial", "token", true, 2_000, 6_000),
+        new RelayConfig.MessageClass("order", "side_effect", false, 2_000, 6_000));
+    private static final List<DeliverySemantics> KINDS = List.of(DeliverySemantics.IDEMPOTENT,
+        DeliverySemantics.DEDUPLICATED, DeliverySemantics.AT_MOST_ONCE);
 
     private final PrintStream say;
     private final Reactor reactor;
-    private final Accounts accounts = new Accounts(10 * SECOND, SECOND / 2);
+    private final DeliveryReferee accounts = new DeliveryReferee(10 * SECOND, SECOND / 2);
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final Platform platform;
     private final SplittableRandom chance;
@@ -57,16 +58,17 @@
 
     private void endpoint(String name, int destination, String kind, String script) {
         endpoints.add(new Endpoint(reactor, accounts, name, destination, kind, 60, script, chance.split(),
-            platform::tell));
+            platform::publishList));
     }
 
     /** Returns the exit code: 0, or 1 where a rule was broken or the relay did not end as it should. */
     int run(List<String> command, int rate, int port, boolean stay) throws IOException, InterruptedException {
-        String at = platform.openAmong(endpoints);
+        String at = platform.openWithEndpoints(endpoints);
         say.println("starting a relay among " + endpoints.size()
             + " endpoints of 4 destinations, discovery at " + at);
         int code;
-        try (RelayProcess relay = new RelayProcess(command, at, port, OFFERINGS, RelayConfig.Told.USUAL,
+        try (RelayProcess relay = new RelayProcess(command, at, port, OFFERINGS,
+            RelayConfig.RelaySettings.DEFAULT,
             List.of())) {
             client = new Client(reactor, accounts, relay.address);
             if (stay) {
@@ -74,23 +76,23 @@
             }
             say.println("the relay serves at 127.0.0.1:" + relay.address.getPort() + "; handing in " + rate
                 + " envelopes a second for 8 s, of which each must come to one end");
-            reactor.run(() -> {
-                endpoints.forEach(Endpoint::begin);
-                begunAt = reactor.now();
+            reactor.execute(() -> {
+                endpoints.forEach(Endpoint::startScript);
+                begunAt = reactor.nowMicros();
                 next(rate);
             });
             progress();
-            code = relay.end();
+            code = relay.terminate();
             say.println("the relay ended with exit code " + code + " after SIGTERM");
         } finally {
             reactor.call(() -> {
-                accounts.close(reactor.now());
+                accounts.checkLost(reactor.nowMicros());
                 return null;
             });
             reactor.close();
         }
         table();
-        return code == 0 && accounts.broken().isEmpty() ? 0 : 1;
+        return code == 0 && accounts.violations().isEmpty() ? 0 : 1;
     }
 
     private int stay(RelayProcess relay) throws InterruptedException {
@@ -99,7 +101,7 @@
             "the relay serves until this is ended (Ctrl-C); destination 1 is steady, 4 is slow. Try:\n\n"
                 + "  curl -i -d hello -H 'Request-Id: a1' -H 'Request-Timeout: 5000m' -H 'X-Addressing: dest=1' "
                 + there + "/order\n"
-                + "  curl " + there + "/stats\n\nIts log is " + relay.log());
+                + "  curl " + there + "/stats\n\nIts log is " + relay.logFile());
         Thread.currentThread().join();
         return 0;
     }
@@ -107,16 +109,16 @@
     /** Hands in on a schedule that does not wait for answers. */
     private void next(int rate) {
         long due = begunAt + handedIn * SECOND / rate;
-        while (due <= reactor.now() && due - begunAt < LOAD) {
+        while (due <= reactor.nowMicros() && due - begunAt < LOAD) {
             int which = (int) (chance.nextDouble() * 3);
             String key = which == 1 ? "k" + chance.nextInt(20) : null;
-            client.handIn("d" + handedIn++, OFFERINGS.get(which).name(), KINDS.get(which),
+            client.submit("d" + handedIn++, OFFERINGS.get(which).name(), KINDS.get(which),
                 1 + chance.nextInt(4), key, EXPIRY,
                 new byte[200]);
             due = begunAt + handedIn * SECOND / rate;
         }
         if (due - begunAt < LOAD) {
-            reactor.after(due - reactor.now(), () -> next(rate));
+            reactor.schedule(due - reactor.nowMicros(), () -> next(rate));
         }
     }
 
@@ -129,7 +131,7 @@
             Thread.sleep(1_000);
             int[] counts = reactor.call(() -> {
                 int[] ends = new int[4];
-                accounts.all().forEach(one -> ends[one.end.ordinal()]++);
+                accounts.messages().forEach(one -> ends[one.state.ordinal()]++);
                 return ends;
             });
             open = counts[0];
@@ -143,11 +145,11 @@
     private void table() {
         TreeMap<String, Histogram> delays = new TreeMap<>();
         TreeMap<String, int[]> ends = new TreeMap<>();
-        for (Accounts.Account one : accounts.all()) {
-            ends.computeIfAbsent(one.offering, name -> new int[4])[one.end.ordinal()]++;
-            if (one.end == End.FULFILLED) {
+        for (DeliveryReferee.MessageRecord one : accounts.messages()) {
+            ends.computeIfAbsent(one.offering, name -> new int[4])[one.state.ordinal()]++;
+            if (one.state == DeliveryState.DELIVERED) {
                 delays.computeIfAbsent(one.offering, name -> new Histogram(60 * SECOND, 3))
-                    .recordValue(Math.max(0, one.endedAt - one.handedInAt));
+                    .recordValue(Math.max(0, one.endedAtMicros - one.submittedAtMicros));
             }
         }
         say.printf("%n%-10s %10s %10s %10s %10s %10s %10s%n", "offering", "handed in", "fulfilled",
@@ -157,10 +159,10 @@
             (offering, n) -> say.printf(Locale.ROOT, "%-10s %10d %10d %10d %10d %10.1f %10.1f%n", offering,
                 n[0] + n[1] + n[2] + n[3], n[1], n[2], n[3], quantile(delays.get(offering), 50),
                 quantile(delays.get(offering), 99)));
-        say.println(accounts.broken().isEmpty()
+        say.println(accounts.violations().isEmpty()
             ? "\nno rule broken: each envelope has one end, none took effect twice, no wait"
                 + " or drain was passed over"
-            : "\nrules broken:\n  " + String.join("\n  ", accounts.broken()));
+            : "\nrules broken:\n  " + String.join("\n  ", accounts.violations()));
     }
 
     private static double quantile(Histogram delays, double percent) {
--- a/standins/src/main/java/yewpath/standins/io/Wire.java
+++ b/standins/src/main/java/yewpath/standins/io/Connection.java
@@ -10,15 +10,15 @@
 import java.util.ArrayDeque;
 
 /** One connection of a peer, which can also end in ways that a decent program would not choose. */
-public final class Wire {
+public final class Connection {
     /** Hears what becomes of it, on the reactor's thread; after {@code over} nothing more. */
-    public interface Owner {
+    public interface Handler {
         default void opened() {}
 
-        void came(ByteBuffer bytes);
+        void received(ByteBuffer bytes);
 
         /** {@code broken} tells a reset or a failed connect from an orderly end. */
-        void over(boolean broken);
+        void closed(boolean broken);
     }
 
     /** Shared by all wires, since the reactor has one thread: what comes is handed on before the next read. */
@@ -28,11 +28,11 @@
     private final SocketChannel channel;
     private final SelectionKey key;
     private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-    private Owner owner;
+    private Handler owner;
     private boolean closed;
     private boolean ending;
 
-    Wire(Reactor reactor, Selector selector, SocketChannel channel, boolean open) throws IOException {
+    Connection(Reactor reactor, Selector selector, SocketChannel channel, boolean open) throws IOException {
         this.reactor = reactor;
         this.channel = channel;
         channel.configureBlocking(false);
@@ -40,7 +40,7 @@
         key = channel.register(selector, open ? SelectionKey.OP_READ : 0, (Runnable) this::ready);
     }
 
-    public void own(Owner by) {
+    public void setHandler(Handler by) {
         owner = by;
     }
 
@@ -48,12 +48,12 @@
         try {
             if (channel.connect(to)) {
                 key.interestOps(SelectionKey.OP_READ);
-                reactor.run(() -> owner.opened());
+                reactor.execute(() -> owner.opened());
             } else {
                 key.interestOps(SelectionKey.OP_CONNECT);
             }
         } catch (IOException refused) {
-            reactor.run(() -> fail(true));
+            reactor.execute(() -> fail(true));
         }
     }
 
@@ -83,14 +83,14 @@
         if (read < 0) {
             fail(false);
         } else if (read > 0) {
-            owner.came(came.flip());
+            owner.received(came.flip());
         }
     }
 
     private void fail(boolean broken) {
         if (!closed) {
             close();
-            owner.over(broken);
+            owner.closed(broken);
         }
     }
 
@@ -107,7 +107,7 @@
             try {
                 flush();
             } catch (IOException broken) {
-                reactor.run(() -> fail(true));
+                reactor.execute(() -> fail(true));
             }
         }
     }
@@ -127,27 +127,27 @@
         }
     }
 
-    /** Reads no more until {@link #readOn}: what the other side writes fills the buffers and pushes back. */
-    public void hold() {
+    /** Reads no more until {@link #resumeReading}: what the other side writes fills the buffers and pushes back. */
+    public void pauseReading() {
         if (!closed) {
             key.interestOps(key.interestOps() & ~SelectionKey.OP_READ);
         }
     }
 
-    public void readOn() {
+    public void resumeReading() {
         if (!closed) {
             key.interestOps(key.interestOps() | SelectionKey.OP_READ);
         }
     }
 
     /** Ends its sending once all is written; goes on reading. */
-    public void end() {
+    public void shutdownOutput() {
         ending = true;
         if (!closed && out.isEmpty()) {
             try {
                 channel.shutdownOutput();
             } catch (IOException broken) {
-                reactor.run(() -> fail(true));
+                reactor.execute(() -> fail(true));
             }
         }
     }
--- a/standins/src/main/java/yewpath/standins/io/Message.java
+++ b/standins/src/main/java/yewpath/standins/io/HttpMessage.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** One HTTP/1.1 message: its first line, headers by lower-case name, and body. */
-public record Message(String line, Map<String, String> headers, byte[] body) {
+public record HttpMessage(String line, Map<String, String> headers, byte[] body) {
     private static final byte[] NONE = {};
 
     public String method() {
@@ -26,12 +26,12 @@
         return headers.get(name);
     }
 
-    public String text() {
+    public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
     /** The bytes of a request or answer whose first line and headers (each "Name: value") are told. */
-    public static byte[] bytes(String line, byte[] body, String... headers) {
+    public static byte[] encode(String line, byte[] body, String... headers) {
         StringBuilder head = new StringBuilder(line).append("\r\n");
         for (String header : headers) {
             head.append(header).append("\r\n");
@@ -43,7 +43,7 @@
         return all;
     }
 
-    public static byte[] answer(int status, String... headers) {
-        return bytes("HTTP/1.1 " + status + " -", NONE, headers);
+    public static byte[] encodeResponse(int status, String... headers) {
+        return encode("HTTP/1.1 " + status + " -", NONE, headers);
     }
 }
--- a/standins/src/main/java/yewpath/standins/io/HttpReader.java
+++ b/standins/src/main/java/yewpath/standins/io/HttpParser.java
@@ -10,7 +10,7 @@
  * Messages out of bytes, as RFC 9112 has them, as far as the relay's protocol goes: bodies have a length. What is not
  * so is an IllegalArgumentException: a stand-in does not guess what the relay may have meant.
  */
-public final class HttpReader {
+public final class HttpParser {
     private static final int HEAD_MOST = 64 << 10;
     private byte[] bytes = new byte[512];
     private int size;
@@ -21,7 +21,7 @@
     private String line;
     private Map<String, String> headers;
 
-    public void take(ByteBuffer from) {
+    public void append(ByteBuffer from) {
         int more = from.remaining();
         if (size + more > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more));
@@ -31,19 +31,20 @@
     }
 
     /** Whether something of a message that is not whole has come. */
-    public boolean isBegun() {
+    public boolean hasPartialMessage() {
         return size > 0;
     }
 
     /** The next message that is whole; null where more has to come. */
-    public Message next() {
+    public HttpMessage nextMessage() {
         if (bodyAt < 0 && !head()) {
             return null;
         }
         if (size - bodyAt < bodyLength) {
             return null;
         }
-        Message whole = new Message(line, headers, Arrays.copyOfRange(bytes, bodyAt, bodyAt + bodyLength));
+        HttpMessage whole = new HttpMessage(line, headers,
+            Arrays.copyOfRange(bytes, bodyAt, bodyAt + bodyLength));
         int rest = size - bodyAt - bodyLength;
         System.arraycopy(bytes, bodyAt + bodyLength, bytes, 0, rest);
         size = rest;
--- a/standins/src/main/java/yewpath/standins/io/Reactor.java
+++ b/standins/src/main/java/yewpath/standins/io/Reactor.java
@@ -32,16 +32,16 @@
             this.act = act;
         }
 
-        public void callOff() {
+        public void cancel() {
             act = null;
         }
     }
 
     /** A port that takes connections until it is shut. */
-    public final class Port {
+    public final class ServerPort {
         private final ServerSocketChannel channel;
 
-        private Port(ServerSocketChannel channel) {
+        private ServerPort(ServerSocketChannel channel) {
             this.channel = channel;
         }
 
@@ -54,7 +54,7 @@
         }
 
         /** New connections are refused from now on; open ones stay. */
-        public void shut() {
+        public void close() {
             try {
                 channel.close();
                 // A closed channel keeps its port until its key is dropped by the next select.
@@ -86,12 +86,12 @@
     }
 
     /** Microseconds since it was made. */
-    public long now() {
+    public long nowMicros() {
         return (System.nanoTime() - origin) / 1000;
     }
 
     /** Runs it on the reactor's thread, soon. */
-    public void run(Runnable act) {
+    public void execute(Runnable act) {
         handedIn.add(act);
         selector.wakeup();
     }
@@ -99,7 +99,7 @@
     /** Runs it there and waits for what it gives; not to be called on the reactor's own thread. */
     public <T> T call(Callable<T> act) {
         CompletableFuture<T> done = new CompletableFuture<>();
-        run(() -> {
+        execute(() -> {
             try {
                 done.complete(act.call());
             } catch (Exception e) {
@@ -117,14 +117,15 @@
     }
 
     /** Only on the reactor's thread, as all below. */
-    public Timer after(long micros, Runnable act) {
-        Timer timer = new Timer(now() + Math.max(0, micros), ordered++, act);
+    public Timer schedule(long micros, Runnable act) {
+        Timer timer = new Timer(nowMicros() + Math.max(0, micros), ordered++, act);
         timers.add(timer);
         return timer;
     }
 
-    /** Port 0 takes any free one. A small receive buffer lets a peer push back early. */
-    public Port listen(InetSocketAddress at, int receiveBuffer, Consumer<Wire> accepted) throws IOException {
+    /** ServerPort 0 takes any free one. A small receive buffer lets a peer push back early. */
+    public ServerPort listen(InetSocketAddress at, int receiveBuffer, Consumer<Connection> accepted)
+        throws IOException {
         onLoopback(at);
         ServerSocketChannel channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -134,25 +135,25 @@
         channel.bind(at, 4_096);
         channel.configureBlocking(false);
         channel.register(selector, SelectionKey.OP_ACCEPT, (Runnable) () -> accept(channel, accepted));
-        return new Port(channel);
+        return new ServerPort(channel);
     }
 
-    private void accept(ServerSocketChannel from, Consumer<Wire> accepted) {
+    private void accept(ServerSocketChannel from, Consumer<Connection> accepted) {
         try {
             for (SocketChannel one = from.accept(); one != null; one = from.accept()) {
-                accepted.accept(new Wire(this, selector, one, true));
+                accepted.accept(new Connection(this, selector, one, true));
             }
         } catch (IOException e) {
             failed.accept(e);
         }
     }
 
-    public Wire connect(InetSocketAddress to, Wire.Owner owner) {
+    public Connection connect(InetSocketAddress to, Connection.Handler owner) {
         onLoopback(to);
         try {
             SocketChannel channel = SocketChannel.open();
-            Wire wire = new Wire(this, selector, channel, false);
-            wire.own(owner);
+            Connection wire = new Connection(this, selector, channel, false);
+            wire.setHandler(owner);
             wire.connect(to);
             return wire;
         } catch (IOException e) {
@@ -171,7 +172,7 @@
         while (!closed) {
             try {
                 Timer next = timers.peek();
-                long wait = next == null ? 1_000 : (next.at - now() + 999) / 1000;
+                long wait = next == null ? 1_000 : (next.at - nowMicros() + 999) / 1000;
                 if (wait <= 0 || !handedIn.isEmpty()) {
                     selector.selectNow();
                 } else {
@@ -184,7 +185,7 @@
                 for (Runnable act = handedIn.poll(); act != null; act = handedIn.poll()) {
                     safely(act);
                 }
-                long now = now();
+                long now = nowMicros();
                 while (!timers.isEmpty() && timers.peek().at <= now) {
                     Runnable act = timers.poll().act;
                     if (act != null) {
@@ -212,7 +213,7 @@
     /** Ends the thread and every connection and port. */
     @Override
     public void close() {
-        run(() -> {
+        execute(() -> {
             closed = true;
             for (SelectionKey key : selector.keys()) {
                 try {
--- a/standins/src/main/java/yewpath/standins/peer/Client.java
+++ b/standins/src/main/java/yewpath/standins/peer/Client.java
@@ -3,11 +3,11 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
-import yewpath.standins.io.HttpReader;
-import yewpath.standins.io.Message;
+import yewpath.standins.io.Connection;
+import yewpath.standins.io.HttpMessage;
+import yewpath.standins.io.HttpParser;
 import yewpath.standins.io.Reactor;
-import yewpath.standins.io.Wire;
-import yewpath.standins.referee.Accounts;
+import yewpath.standins.referee.DeliveryReferee;
 
 /**
  * Clients of one relay: hands in an envelope on a connection that is free, or on a new one, and waits 400 ms for its
@@ -17,24 +17,25 @@
     private static final long PATIENCE = 400_000;
 
     private final Reactor reactor;
-    private final Accounts accounts;
+    private final DeliveryReferee accounts;
     private final InetSocketAddress relay;
     private final ArrayDeque<Link> free = new ArrayDeque<>();
     private int connections;
     private long unanswered;
 
-    public Client(Reactor reactor, Accounts accounts, InetSocketAddress relay) {
+    public Client(Reactor reactor, DeliveryReferee accounts, InetSocketAddress relay) {
         this.reactor = reactor;
         this.accounts = accounts;
         this.relay = relay;
     }
 
     /** Only on the reactor's thread, as all below. {@code key} may be null. */
-    public void handIn(String id, String offering, Accounts.Kind kind, int destination, String key,
+    public void submit(String id, String offering, DeliveryReferee.DeliverySemantics kind, int destination,
+        String key,
         long within,
         byte[] body) {
-        accounts.handedIn(id, offering, relay.toString(), kind, reactor.now(), within);
-        byte[] request = Message.bytes("POST /" + offering + " HTTP/1.1", body, "Host: relay",
+        accounts.submitted(id, offering, relay.toString(), kind, reactor.nowMicros(), within);
+        byte[] request = HttpMessage.encode("POST /" + offering + " HTTP/1.1", body, "Host: relay",
             "Request-Id: " + id,
             "Request-Timeout: " + within + "u", "X-Addressing: dest=" + destination, "Tenant: demo",
             key == null ? "X-None: 0" : "Affinity-Key: " + key);
@@ -42,19 +43,19 @@
         (link == null ? new Link() : link).ask(id, request, link != null);
     }
 
-    public int connections() {
+    public int connectionCount() {
         return connections;
     }
 
     /** Requests that the relay neither answered nor turned away in time. */
-    public long unanswered() {
+    public long unansweredCount() {
         return unanswered;
     }
 
     /** One connection. */
-    private final class Link implements Wire.Owner {
-        private final Wire wire;
-        private final HttpReader reader = new HttpReader();
+    private final class Link implements Connection.Handler {
+        private final Connection wire;
+        private final HttpParser reader = new HttpParser();
         private String id;
         private byte[] request;
         private boolean kept;
@@ -69,7 +70,7 @@
             id = envelope;
             request = bytes;
             kept = onKept;
-            patience = reactor.after(PATIENCE, () -> {
+            patience = reactor.schedule(PATIENCE, () -> {
                 unanswered++;
                 ended(0);
                 close();
@@ -78,9 +79,9 @@
         }
 
         @Override
-        public void came(ByteBuffer bytes) {
-            reader.take(bytes);
-            Message answer = reader.next();
+        public void received(ByteBuffer bytes) {
+            reader.append(bytes);
+            HttpMessage answer = reader.nextMessage();
             if (answer == null || id == null) {
                 return;
             }
@@ -93,10 +94,10 @@
         }
 
         private void ended(int status) {
-            patience.callOff();
+            patience.cancel();
             String envelope = id;
             id = null;
-            accounts.answered(envelope, status, reactor.now());
+            accounts.clientAnswered(envelope, status, reactor.nowMicros());
         }
 
         private void close() {
@@ -106,11 +107,11 @@
         }
 
         @Override
-        public void over(boolean broken) {
+        public void closed(boolean broken) {
             String envelope = id;
             close();
             if (envelope != null) {
-                patience.callOff();
+                patience.cancel();
                 if (kept) {
                     // The closing has crossed the request: the protocol has it sent once more, on a new connection.
                     new Link().ask(envelope, request, false);
--- a/standins/src/main/java/yewpath/standins/peer/Endpoint.java
+++ b/standins/src/main/java/yewpath/standins/peer/Endpoint.java
@@ -15,16 +15,16 @@
 import java.util.List;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import yewpath.standins.io.HttpReader;
-import yewpath.standins.io.Message;
+import yewpath.standins.io.Connection;
+import yewpath.standins.io.HttpMessage;
+import yewpath.standins.io.HttpParser;
 import yewpath.standins.io.Reactor;
-import yewpath.standins.io.Wire;
-import yewpath.standins.referee.Accounts;
+import yewpath.standins.referee.DeliveryReferee;
 import yewpath.standins.script.Script;
 import yewpath.standins.script.Step;
 
 /** One endpoint: answers calls as its script says, one by one or in bundles, and tells the accounts what it saw. */
-public final class Endpoint implements Listed {
+public final class Endpoint implements ListedEndpoint {
     private static final JsonFactory JSON = new JsonFactory();
     /** Small, so that a large call has not arrived whole while it is not read. */
     private static final int RECEIVE = 4 << 10;
@@ -34,12 +34,12 @@
     private final String kind;
     private final double weight;
     private final Reactor reactor;
-    private final Accounts accounts;
+    private final DeliveryReferee accounts;
     private final Script script;
     private final RandomGenerator chance;
     private final Set<Visit> visits = new LinkedHashSet<>();
     private final Runnable changed;
-    private Reactor.Port port;
+    private Reactor.ServerPort port;
     private InetSocketAddress address;
     private int generation;
     private String zone = "here";
@@ -48,7 +48,7 @@
     private long refusals;
 
     /** {@code changed} is called when the list should say something else of it. */
-    public Endpoint(Reactor reactor, Accounts accounts, String name, int destination, String kind,
+    public Endpoint(Reactor reactor, DeliveryReferee accounts, String name, int destination, String kind,
         double weight,
         String script, RandomGenerator chance, Runnable changed) {
         this.reactor = reactor;
@@ -57,12 +57,12 @@
         this.destination = destination;
         this.kind = kind;
         this.weight = weight;
-        this.script = Script.of(script);
+        this.script = Script.parse(script);
         this.chance = chance;
         this.changed = changed;
     }
 
-    /** Opens its port; the script's time counts from {@link #begin}. Only on the reactor's thread, as all below. */
+    /** Opens its port; the script's time counts from {@link #startScript}. Only on the reactor's thread, as all below. */
     public void open() throws IOException {
         port = reactor.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), RECEIVE,
             Visit::new);
@@ -70,10 +70,10 @@
     }
 
     /** From now on the script's time runs. */
-    public void begin() {
-        startedAt = reactor.now();
-        for (long at : script.changes()) {
-            reactor.after(at, this::turn);
+    public void startScript() {
+        startedAt = reactor.nowMicros();
+        for (long at : script.stateChangeTimes()) {
+            reactor.schedule(at, this::turn);
         }
     }
 
@@ -106,8 +106,9 @@
     /** As the list has it: up, draining or removed. */
     @Override
     public String state() {
-        long at = reactor.now() - startedAt;
-        return script.is(Step.Act.GONE, at) ? "removed" : script.is(Step.Act.DRAIN, at) ? "draining" : "up";
+        long at = reactor.nowMicros() - startedAt;
+        return script.isInState(Step.Action.GONE, at) ? "removed"
+            : script.isInState(Step.Action.DRAIN, at) ? "draining" : "up";
     }
 
     /** Where it stands, as the list has it. */
@@ -117,39 +118,39 @@
     }
 
     /** As the list should have it from now on. */
-    public Endpoint in(String where) {
+    public Endpoint inZone(String where) {
         zone = where;
         return this;
     }
 
-    public long calls() {
+    public long callCount() {
         return calls;
     }
 
     /** Calls answered by 429. */
-    public long refusals() {
+    public long rejectionCount() {
         return refusals;
     }
 
-    public int connections() {
+    public int connectionCount() {
         return visits.size();
     }
 
     private void turn() {
-        long at = reactor.now() - startedAt;
-        boolean refuses = script.is(Step.Act.REFUSE, at);
+        long at = reactor.nowMicros() - startedAt;
+        boolean refuses = script.isInState(Step.Action.REFUSE, at);
         try {
             if (refuses && port != null) {
-                port.shut();
+                port.close();
                 port = null;
                 new ArrayList<>(visits).forEach(Visit::reset);
             } else if (!refuses && port == null) {
                 port = reactor.listen(address, RECEIVE, Visit::new);
             }
-            if (script.is(Step.Act.REPLACED, at) && generation == 0) {
+            if (script.isInState(Step.Action.REPLACED, at) && generation == 0) {
                 generation++;
                 if (port != null) {
-                    port.shut();
+                    port.close();
                 }
                 open();
             }
@@ -161,71 +162,71 @@
 
     public void close() {
         if (port != null) {
-            port.shut();
+            port.close();
         }
         new ArrayList<>(visits).forEach(visit -> visit.wire.close());
         visits.clear();
     }
 
     /** One connection of a relay. */
-    private final class Visit implements Wire.Owner {
-        private final Wire wire;
-        private final HttpReader reader = new HttpReader();
+    private final class Visit implements Connection.Handler {
+        private final Connection wire;
+        private final HttpParser reader = new HttpParser();
         private List<String> out = List.of();
         private Step step;
         private long firstByteAt;
 
-        Visit(Wire wire) {
+        Visit(Connection wire) {
             this.wire = wire;
-            wire.own(this);
+            wire.setHandler(this);
             visits.add(this);
         }
 
         @Override
-        public void came(ByteBuffer bytes) {
-            if (!reader.isBegun() && step == null) {
-                firstByteAt = reactor.now();
-                step = script.call(firstByteAt - startedAt, chance);
-                if (step.act() == Step.Act.RESET_FIRST) {
+        public void received(ByteBuffer bytes) {
+            if (!reader.hasPartialMessage() && step == null) {
+                firstByteAt = reactor.nowMicros();
+                step = script.nextStep(firstByteAt - startedAt, chance);
+                if (step.act() == Step.Action.RESET_FIRST) {
                     reset();
                     return;
                 }
-                if (step.act() == Step.Act.RESET_MIDWAY) {
-                    wire.hold();
-                    reactor.after(Math.max(1, step.after()), this::reset);
+                if (step.act() == Step.Action.RESET_MIDWAY) {
+                    wire.pauseReading();
+                    reactor.schedule(Math.max(1, step.after()), this::reset);
                     return;
                 }
             }
             try {
-                reader.take(bytes);
-                Message call = reader.next();
+                reader.append(bytes);
+                HttpMessage call = reader.nextMessage();
                 if (call != null) {
                     call(call);
                 }
             } catch (IllegalArgumentException | IOException unreadable) {
-                wire.write(Message.answer(400, "Connection: close"));
-                wire.end();
+                wire.write(HttpMessage.encodeResponse(400, "Connection: close"));
+                wire.shutdownOutput();
             }
         }
 
-        private void call(Message call) throws IOException {
-            long now = reactor.now();
+        private void call(HttpMessage call) throws IOException {
+            long now = reactor.nowMicros();
             calls++;
             boolean bulk = call.target().equals("/inbox/bulk");
             out = bulk ? ids(call.body()) : List.of(String.valueOf(call.header("request-id")));
             String where = "destination " + destination;
             for (String id : out) {
-                accounts.arrived(id, id(), where, firstByteAt, now);
+                accounts.callArrived(id, id(), where, firstByteAt, now);
             }
             Step mine = step;
-            if (mine.runs()) {
-                out.forEach(id -> accounts.ran(id, now));
+            if (mine.takesEffect()) {
+                out.forEach(id -> accounts.executed(id, now));
             }
             switch (mine.act()) {
-                case ANSWER -> reactor.after(mine.after(), () -> answer(mine, bulk));
-                case GARBLE -> reactor.after(mine.after(), () -> garble());
-                case RESET_LAST -> reactor.after(mine.after(), this::reset);
-                default -> wire.readOn();
+                case ANSWER -> reactor.schedule(mine.after(), () -> answer(mine, bulk));
+                case GARBLE -> reactor.schedule(mine.after(), () -> garble());
+                case RESET_LAST -> reactor.schedule(mine.after(), this::reset);
+                default -> wire.resumeReading();
             }
         }
 
@@ -233,22 +234,22 @@
             if (wire.isClosed()) {
                 return;
             }
-            long now = reactor.now();
+            long now = reactor.nowMicros();
             List<String> over = ended(mine.status() == 200, now);
             refusals += mine.status() == 429 ? 1 : 0;
             if (mine.pause() > 0) {
-                accounts.waitTold(over.isEmpty() ? "" : over.get(0), "destination " + destination,
+                accounts.waitAdvertised(over.isEmpty() ? "" : over.get(0), "destination " + destination,
                     mine.pause(), now);
-                wire.write(Message.answer(mine.status(), "Retry-After: " + mine.pause() / 1e6));
+                wire.write(HttpMessage.encodeResponse(mine.status(), "Retry-After: " + mine.pause() / 1e6));
             } else if (bulk && mine.status() == 200) {
-                wire.write(Message.bytes("HTTP/1.1 200 -", allDone(over)));
+                wire.write(HttpMessage.encode("HTTP/1.1 200 -", allDone(over)));
             } else {
-                wire.write(Message.answer(mine.status()));
+                wire.write(HttpMessage.encodeResponse(mine.status()));
             }
         }
 
         private void garble() {
-            ended(false, reactor.now());
+            ended(false, reactor.nowMicros());
             byte[] noise = new byte[40];
             chance.nextBytes(noise);
             wire.write(noise);
@@ -258,19 +259,19 @@
             List<String> over = out;
             out = List.of();
             step = null;
-            over.forEach(id -> accounts.callOver(id, delivered, at));
+            over.forEach(id -> accounts.callEnded(id, delivered, at));
             return over;
         }
 
         private void reset() {
-            ended(false, reactor.now());
+            ended(false, reactor.nowMicros());
             wire.reset();
             visits.remove(this);
         }
 
         @Override
-        public void over(boolean broken) {
-            ended(false, reactor.now());
+        public void closed(boolean broken) {
+            ended(false, reactor.nowMicros());
             wire.close();
             visits.remove(this);
         }
--- a/standins/src/main/java/yewpath/standins/peer/Listed.java
+++ b/standins/src/main/java/yewpath/standins/peer/ListedEndpoint.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /** What the list says of an endpoint. */
-public interface Listed {
+public interface ListedEndpoint {
     String id();
 
     int destination();
--- a/standins/src/main/java/yewpath/standins/peer/Platform.java
+++ b/standins/src/main/java/yewpath/standins/peer/Platform.java
@@ -14,11 +14,11 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import yewpath.standins.io.HttpReader;
-import yewpath.standins.io.Message;
+import yewpath.standins.io.Connection;
+import yewpath.standins.io.HttpMessage;
+import yewpath.standins.io.HttpParser;
 import yewpath.standins.io.Reactor;
-import yewpath.standins.io.Wire;
-import yewpath.standins.referee.Ear;
+import yewpath.standins.referee.PlatformObserver;
 
 /** The platform's agent: the list with its watches, and notices of outcomes. */
 public final class Platform {
@@ -26,17 +26,17 @@
     private static final long BEAT = 2_000_000;
 
     private final Reactor reactor;
-    private final Ear ear;
-    private final List<? extends Listed> endpoints;
-    private final Set<Wire> watches = new LinkedHashSet<>();
-    private Reactor.Port port;
+    private final PlatformObserver ear;
+    private final List<? extends ListedEndpoint> endpoints;
+    private final Set<Connection> watches = new LinkedHashSet<>();
+    private Reactor.ServerPort port;
     private int version = 1;
     /** What notices are answered; 0 for nothing at all. */
     private int noticeStatus = 204;
     private long notices;
 
-    /** {@code endpoints} may grow and change; {@link #tell} says so to all watches. */
-    public Platform(Reactor reactor, Ear ear, List<? extends Listed> endpoints) {
+    /** {@code endpoints} may grow and change; {@link #publishList} says so to all watches. */
+    public Platform(Reactor reactor, PlatformObserver ear, List<? extends ListedEndpoint> endpoints) {
         this.reactor = reactor;
         this.ear = ear;
         this.endpoints = endpoints;
@@ -49,7 +49,7 @@
     }
 
     /** Opens the endpoints and then this, at any free port, from any thread but the reactor's; where a relay finds it. */
-    public String openAmong(List<Endpoint> all) {
+    public String openWithEndpoints(List<Endpoint> all) {
         return reactor.call(() -> {
             for (Endpoint one : all) {
                 one.open();
@@ -63,41 +63,41 @@
         return port.address();
     }
 
-    public long notices() {
+    public long noticeCount() {
         return notices;
     }
 
-    public void answerNotices(int status) {
+    public void setNoticeStatus(int status) {
         noticeStatus = status;
     }
 
-    public int watches() {
+    public int followerCount() {
         return watches.size();
     }
 
     private void beat() {
         watches.forEach(watch -> watch.write(chunk("\n")));
-        reactor.after(BEAT, this::beat);
+        reactor.schedule(BEAT, this::beat);
     }
 
     /** The list as it stands, to all who follow it. */
-    public void tell() {
+    public void publishList() {
         version++;
-        byte[] line = chunk(list() + "\n");
+        byte[] line = chunk(listJson() + "\n");
         watches.forEach(watch -> watch.write(line));
-        long now = reactor.now();
-        endpoints.forEach(one -> ear.listed(one.id(), one.state().equals("up"), now));
+        long now = reactor.nowMicros();
+        endpoints.forEach(one -> ear.endpointListed(one.id(), one.state().equals("up"), now));
     }
 
     /** The whole list, in discovery's form. */
-    public String list() {
+    public String listJson() {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
             out.writeNumberField("version", version);
             out.writeBooleanField("full", true);
             out.writeArrayFieldStart("servers");
-            for (Listed one : endpoints) {
+            for (ListedEndpoint one : endpoints) {
                 if (one.state().equals("removed")) {
                     continue;
                 }
@@ -126,47 +126,48 @@
     }
 
     public void close() {
-        port.shut();
-        new ArrayList<>(watches).forEach(Wire::close);
+        port.close();
+        new ArrayList<>(watches).forEach(Connection::close);
         watches.clear();
     }
 
     /** One connection of a relay. */
-    private final class Visit implements Wire.Owner {
-        private final Wire wire;
-        private final HttpReader reader = new HttpReader();
+    private final class Visit implements Connection.Handler {
+        private final Connection wire;
+        private final HttpParser reader = new HttpParser();
 
-        Visit(Wire wire) {
+        Visit(Connection wire) {
             this.wire = wire;
-            wire.own(this);
+            wire.setHandler(this);
         }
 
         @Override
-        public void came(ByteBuffer bytes) {
-            reader.take(bytes);
-            for (Message asked = reader.next(); asked != null; asked = reader.next()) {
+        public void received(ByteBuffer bytes) {
+            reader.append(bytes);
+            for (HttpMessage asked = reader.nextMessage(); asked != null; asked = reader.nextMessage()) {
                 answer(asked);
             }
         }
 
-        private void answer(Message asked) {
+        private void answer(HttpMessage asked) {
             String target = asked.target();
             if (target.equals("/v1/outcomes")) {
                 if (noticeStatus == 204) {
-                    asked.text().lines().forEach(this::notice);
+                    asked.bodyText().lines().forEach(this::notice);
                 }
                 if (noticeStatus != 0) {
-                    wire.write(Message.answer(noticeStatus));
+                    wire.write(HttpMessage.encodeResponse(noticeStatus));
                 }
             } else if (target.startsWith("/registry/instances?follow=1")) {
                 wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     .getBytes(StandardCharsets.ISO_8859_1));
-                wire.write(chunk(list() + "\n"));
+                wire.write(chunk(listJson() + "\n"));
                 watches.add(wire);
             } else if (target.equals("/registry/instances")) {
-                wire.write(Message.bytes("HTTP/1.1 200 OK", list().getBytes(StandardCharsets.UTF_8)));
+                wire.write(
+                    HttpMessage.encode("HTTP/1.1 200 OK", listJson().getBytes(StandardCharsets.UTF_8)));
             } else {
-                wire.write(Message.answer(404));
+                wire.write(HttpMessage.encodeResponse(404));
             }
         }
 
@@ -184,11 +185,11 @@
                 throw new UncheckedIOException(e);
             }
             notices++;
-            ear.notice(id, "handed_back".equals(outcome), pause, reactor.now());
+            ear.noticeReceived(id, "handed_back".equals(outcome), pause, reactor.nowMicros());
         }
 
         @Override
-        public void over(boolean broken) {
+        public void closed(boolean broken) {
             wire.close();
             watches.remove(wire);
         }
--- a/standins/src/main/java/yewpath/standins/process/RelayConfig.java
+++ b/standins/src/main/java/yewpath/standins/process/RelayConfig.java
@@ -12,14 +12,16 @@
 /** A platform's configuration as a relay among stand-ins is told it. */
 public final class RelayConfig {
     /** What the relay is told of an offering: {@code repeat} is pure, token or side_effect. */
-    public record Offering(String name, String repeat, boolean ordered, int agreedMs, int expiryMs) {}
+    public record MessageClass(String name, String repeat, boolean ordered, int agreedMs, int expiryMs) {}
 
     /** What else is told: this relay's number of so many, and figures by the names that the settings have. */
-    public record Told(int relays, int ordinal, int slots, int hold, int tries, long connectTimeoutMs,
+    public record RelaySettings(int relays, int ordinal, int slots, int hold, int tries,
+        long connectTimeoutMs,
         long connectionIdleMs, double coldFrom,
         long coldMs, double fallMultiple, long fallMs, long settleMs, boolean halving, int memoryMb) {
         /** One relay of middling size. */
-        public static final Told USUAL = new Told(1, 0, 32, 400, 8, 1_000, 10_000, 0.2, 3_000, 2, 1_000, 400,
+        public static final RelaySettings DEFAULT = new RelaySettings(1, 0, 32, 400, 8, 1_000, 10_000, 0.2,
+            3_000, 2, 1_000, 400,
             true, 192);
     }
 
@@ -27,23 +29,23 @@
      * What a deployment's shape tells beside that: whether rates are listed, the zones with what a route apart in each
      * takes, where this relay stands and what a crossing costs.
      */
-    public record Shape(String weights, List<String> zones, List<Double> fees, String locality,
+    public record Topology(String weights, List<String> zones, List<Double> fees, String locality,
         double crossing) {
-        public static final Shape USUAL = new Shape("nominal", List.of("here"), List.of(), null, 0);
+        public static final Topology DEFAULT = new Topology("nominal", List.of("here"), List.of(), null, 0);
     }
 
     private RelayConfig() {}
 
     public static void write(Path file, InetSocketAddress address, String platform, Path state,
-        List<Offering> offerings,
-        Told told) throws IOException {
-        write(file, address, platform, state, offerings, told, Shape.USUAL);
+        List<MessageClass> offerings,
+        RelaySettings told) throws IOException {
+        write(file, address, platform, state, offerings, told, Topology.DEFAULT);
     }
 
     /** {@code platform} is the address of discovery and notices, {@code state} the folder that lasts. */
     public static void write(Path file, InetSocketAddress address, String platform, Path state,
-        List<Offering> offerings,
-        Told told, Shape shape) throws IOException {
+        List<MessageClass> offerings,
+        RelaySettings told, Topology shape) throws IOException {
         try (OutputStream to = Files.newOutputStream(file);
             JsonGenerator out = new JsonFactory().createGenerator(to).useDefaultPrettyPrinter()) {
             out.writeStartObject();
@@ -101,7 +103,7 @@
             out.writeNumberField("settle_after_doubt_ms", told.settleMs);
             out.writeEndObject();
             out.writeArrayFieldStart("request_classes");
-            for (Offering one : offerings) {
+            for (MessageClass one : offerings) {
                 out.writeStartObject();
                 out.writeStringField("name", one.name);
                 out.writeStringField("repeat", one.repeat);
--- a/standins/src/main/java/yewpath/standins/process/RelayProcess.java
+++ b/standins/src/main/java/yewpath/standins/process/RelayProcess.java
@@ -24,16 +24,18 @@
     private Process process;
 
     /** {@code port} 0 takes any free one. Returns once the relay is ready. */
-    public RelayProcess(List<String> command, String platform, int port, List<RelayConfig.Offering> offerings,
-        RelayConfig.Told told,
+    public RelayProcess(List<String> command, String platform, int port,
+        List<RelayConfig.MessageClass> offerings,
+        RelayConfig.RelaySettings told,
         List<String> more)
         throws IOException, InterruptedException {
-        this(command, platform, port, offerings, told, RelayConfig.Shape.USUAL, more);
+        this(command, platform, port, offerings, told, RelayConfig.Topology.DEFAULT, more);
     }
 
-    public RelayProcess(List<String> command, String platform, int port, List<RelayConfig.Offering> offerings,
-        RelayConfig.Told told,
-        RelayConfig.Shape shape, List<String> more)
+    public RelayProcess(List<String> command, String platform, int port,
+        List<RelayConfig.MessageClass> offerings,
+        RelayConfig.RelaySettings told,
+        RelayConfig.Topology shape, List<String> more)
         throws IOException, InterruptedException {
         folder = Files.createTempDirectory("yewpath-demo");
         int taken = port;
@@ -49,7 +51,7 @@
         all.addAll(List.of("serve", "--config", config.toString()));
         all.addAll(more);
         builder = new ProcessBuilder(all).redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log()));
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile()));
         builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
         start();
     }
@@ -70,7 +72,7 @@
             .sleep(20)) {
             if (!process.isAlive()) {
                 throw new IOException(
-                    "the relay ended at its start: " + Files.readString(log().toPath()).strip());
+                    "the relay ended at its start: " + Files.readString(logFile().toPath()).strip());
             }
             try {
                 get("/health/ready");
@@ -99,7 +101,7 @@
         return process.pid();
     }
 
-    public File log() {
+    public File logFile() {
         return folder.resolve("log").toFile();
     }
 
@@ -109,7 +111,7 @@
     }
 
     /** SIGTERM; returns the exit code, -1 where it had to be killed. */
-    public int end() throws InterruptedException {
+    public int terminate() throws InterruptedException {
         process.destroy();
         return process.waitFor(4, TimeUnit.SECONDS) ? process.exitValue() : -1;
     }
--- a/standins/src/main/java/yewpath/standins/referee/Accounts.java
+++ b/standins/src/main/java/yewpath/standins/referee/DeliveryReferee.java
@@ -11,33 +11,33 @@
  * The accounts of a run: each envelope's life as clients, endpoints and platform saw it, and each broken rule as a
  * sentence with the envelope's history. Times are microseconds on one clock. Pure, for one thread.
  */
-public final class Accounts implements Ear {
+public final class DeliveryReferee implements PlatformObserver {
     /** How an offering may be repeated. */
-    public enum Kind {
-        REPEATABLE,
-        TAGGED,
-        ONCE_ONLY
+    public enum DeliverySemantics {
+        IDEMPOTENT,
+        DEDUPLICATED,
+        AT_MOST_ONCE
     }
 
     /** How an envelope stands. */
-    public enum End {
+    public enum DeliveryState {
         OPEN,
-        FULFILLED,
-        DEFERRED,
-        ABORTED
+        DELIVERED,
+        REJECTED,
+        FAILED
     }
 
     /** One envelope. */
-    public static final class Account {
+    public static final class MessageRecord {
         public final String id;
         public final String offering;
         /** Which relay it was handed to: what one relay was told binds no other. */
         public final String relay;
-        public final Kind kind;
-        public final long handedInAt;
+        public final DeliverySemantics kind;
+        public final long submittedAtMicros;
         public final long expiry;
-        public End end = End.OPEN;
-        public long endedAt = -1;
+        public DeliveryState state = DeliveryState.OPEN;
+        public long endedAtMicros = -1;
         private boolean taken;
         private int out;
         /** Since when a shot has been out beside another; -1 where none is. */
@@ -46,23 +46,24 @@
         private long firstRunAt = -1;
         private final List<String> history = new ArrayList<>();
 
-        private Account(String id, String offering, String relay, Kind kind, long at, long expiry) {
+        private MessageRecord(String id, String offering, String relay, DeliverySemantics kind, long at,
+            long expiry) {
             this.id = id;
             this.offering = offering;
             this.relay = relay;
             this.kind = kind;
-            handedInAt = at;
+            submittedAtMicros = at;
             this.expiry = expiry;
         }
 
-        public int runs() {
+        public int executionCount() {
             return runs;
         }
 
         private void note(long at, String what) {
             // Some dozens suffice to see what happened; a shot storm must not fill the heap.
             if (history.size() < 64) {
-                history.add((at - handedInAt) / 1000 + " ms " + what);
+                history.add((at - submittedAtMicros) / 1000 + " ms " + what);
             }
         }
     }
@@ -71,7 +72,7 @@
     /** Added to each time limit, since peers and relay share a busy machine. */
     private final long slack;
     private final long memory;
-    private final Map<String, Account> accounts = new TreeMap<>();
+    private final Map<String, MessageRecord> accounts = new TreeMap<>();
     /** What binds: until when, and how long it was when it was told. */
     private final Map<String, Long> waits = new HashMap<>();
     private final Map<String, Long> waitLengths = new HashMap<>();
@@ -79,19 +80,20 @@
     private final List<String> broken = new ArrayList<>();
 
     /** {@code memory}: how long a repeat of a tagged envelope is known; {@code slack}: what time limits are extended by. */
-    public Accounts(long memory, long slack) {
+    public DeliveryReferee(long memory, long slack) {
         this.memory = memory;
         this.slack = slack;
     }
 
     /** {@code relay} tells several apart. */
-    public void handedIn(String id, String offering, String relay, Kind kind, long at, long within) {
-        accounts.put(id, new Account(id, offering, relay, kind, at, at + within));
+    public void submitted(String id, String offering, String relay, DeliverySemantics kind, long at,
+        long within) {
+        accounts.put(id, new MessageRecord(id, offering, relay, kind, at, at + within));
     }
 
     /** What the client was answered; 0 for nothing at all. */
-    public void answered(String id, int status, long at) {
-        Account one = accounts.get(id);
+    public void clientAnswered(String id, int status, long at) {
+        MessageRecord one = accounts.get(id);
         if (one == null) {
             return;
         }
@@ -99,15 +101,15 @@
         if (status == 200 || status == 202) {
             one.taken = true;
         } else if (status == 429 || status == 503) {
-            end(one, End.DEFERRED, at);
+            end(one, DeliveryState.REJECTED, at);
         } else {
-            end(one, End.ABORTED, at);
+            end(one, DeliveryState.FAILED, at);
         }
     }
 
     /** A call with this envelope has arrived whole. {@code where} is what a wait binds, {@code endpoint} who got it. */
-    public void arrived(String id, String endpoint, String where, long firstByteAt, long at) {
-        Account one = accounts.get(id);
+    public void callArrived(String id, String endpoint, String where, long firstByteAt, long at) {
+        MessageRecord one = accounts.get(id);
         if (one == null) {
             broken.add("an envelope that nobody handed in: " + id);
             return;
@@ -130,23 +132,23 @@
     }
 
     /** It takes effect now. */
-    public void ran(String id, long at) {
-        Account one = accounts.get(id);
+    public void executed(String id, long at) {
+        MessageRecord one = accounts.get(id);
         if (one == null) {
             return;
         }
         one.note(at, "runs");
         boolean again = one.runs++ > 0;
-        if (again && (one.kind == Kind.ONCE_ONLY
-            || one.kind == Kind.TAGGED && at - one.firstRunAt > memory + slack)) {
+        if (again && (one.kind == DeliverySemantics.AT_MOST_ONCE
+            || one.kind == DeliverySemantics.DEDUPLICATED && at - one.firstRunAt > memory + slack)) {
             breaks(one, "takes effect twice");
         }
         one.firstRunAt = again ? one.firstRunAt : at;
     }
 
     /** The call is over: answered, or its connection has ended. {@code delivered} where the answer was a 200. */
-    public void callOver(String id, boolean delivered, long at) {
-        Account one = accounts.get(id);
+    public void callEnded(String id, boolean delivered, long at) {
+        MessageRecord one = accounts.get(id);
         if (one == null) {
             return;
         }
@@ -156,7 +158,7 @@
         }
         one.note(at, delivered ? "is answered 200" : "its call ends");
         if (delivered) {
-            end(one, End.FULFILLED, at);
+            end(one, DeliveryState.DELIVERED, at);
         }
     }
 
@@ -164,16 +166,16 @@
      * A call may be ended just ahead of the next one, on another connection, and which of the two is read first is
      * chance: only what lasts is two at once.
      */
-    private void judgeBeside(Account one, long at) {
+    private void judgeBeside(MessageRecord one, long at) {
         if (at - one.besideSince > SAME_MOMENT) {
             breaks(one, "two shots at once");
         }
         one.besideSince = -1;
     }
 
-    /** Told in the answer for this envelope, and so to the relay that has it. */
-    public void waitTold(String id, String where, long length, long at) {
-        Account one = accounts.get(id);
+    /** RelaySettings in the answer for this envelope, and so to the relay that has it. */
+    public void waitAdvertised(String id, String where, long length, long at) {
+        MessageRecord one = accounts.get(id);
         String told = (one == null ? "" : one.relay) + " " + where;
         if (at + length > waits.getOrDefault(told, 0L)) {
             waits.put(told, at + length);
@@ -183,7 +185,7 @@
 
     /** The list has told that nothing new is to go there; {@code open} takes it back. */
     @Override
-    public void listed(String endpoint, boolean open, long at) {
+    public void endpointListed(String endpoint, boolean open, long at) {
         if (open) {
             closed.remove(endpoint);
         } else {
@@ -193,56 +195,56 @@
 
     /** The platform has heard of an end. */
     @Override
-    public void notice(String id, boolean handedBack, long pause, long at) {
-        Account one = accounts.get(id);
+    public void noticeReceived(String id, boolean handedBack, long pause, long at) {
+        MessageRecord one = accounts.get(id);
         if (one == null) {
             broken.add("a notice for an envelope that nobody handed in: " + id);
             return;
         }
         one.note(at, handedBack ? "is handed back" : "is given up");
-        if (handedBack && one.runs > 0 && one.kind == Kind.ONCE_ONLY) {
+        if (handedBack && one.runs > 0 && one.kind == DeliverySemantics.AT_MOST_ONCE) {
             breaks(one, "handed back although it ran");
         }
-        end(one, handedBack ? End.DEFERRED : End.ABORTED, at);
+        end(one, handedBack ? DeliveryState.REJECTED : DeliveryState.FAILED, at);
     }
 
-    private void end(Account one, End end, long at) {
+    private void end(MessageRecord one, DeliveryState end, long at) {
         // A notice for one that was delivered does no harm, nor does a delivery whose answer came too late.
-        if (one.end == End.OPEN) {
-            one.end = end;
-            one.endedAt = at;
-        } else if (end == End.FULFILLED && one.kind != Kind.ONCE_ONLY) {
-            one.end = end;
+        if (one.state == DeliveryState.OPEN) {
+            one.state = end;
+            one.endedAtMicros = at;
+        } else if (end == DeliveryState.DELIVERED && one.kind != DeliverySemantics.AT_MOST_ONCE) {
+            one.state = end;
         }
     }
 
-    private void breaks(Account one, String rule) {
+    private void breaks(MessageRecord one, String rule) {
         broken.add(one.id + " (" + one.offering + "): " + rule + "; " + String.join(", ", one.history));
     }
 
     /** Envelopes that were taken on and have no end yet. */
-    public long open() {
-        return accounts.values().stream().filter(one -> one.taken && one.end == End.OPEN).count();
+    public long openCount() {
+        return accounts.values().stream().filter(one -> one.taken && one.state == DeliveryState.OPEN).count();
     }
 
     /** Closes the books: whatever was taken on and is past its time without an end is lost. */
-    public void close(long at) {
-        for (Account one : accounts.values()) {
+    public void checkLost(long at) {
+        for (MessageRecord one : accounts.values()) {
             if (one.besideSince >= 0) {
                 judgeBeside(one, at);
             }
-            if (one.taken && one.end == End.OPEN && at > one.expiry + 300_000 + slack) {
+            if (one.taken && one.state == DeliveryState.OPEN && at > one.expiry + 300_000 + slack) {
                 breaks(one, "lost");
             }
         }
     }
 
     /** Broken rules, a sentence each. */
-    public List<String> broken() {
+    public List<String> violations() {
         return List.copyOf(broken);
     }
 
-    public Collection<Account> all() {
+    public Collection<MessageRecord> messages() {
         return accounts.values();
     }
 }
--- a/standins/src/main/java/yewpath/standins/script/Script.java
+++ b/standins/src/main/java/yewpath/standins/script/Script.java
@@ -27,7 +27,7 @@
     private static final Map<String, Long> UNITS = Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L);
     private static final long NEVER = Long.MAX_VALUE;
 
-    private record Line(long from, long to, Step.Act act, int status, long least, long most, long pause,
+    private record Line(long from, long to, Step.Action act, int status, long least, long most, long pause,
         double share,
         int every, int over) {
         boolean holds(long at) {
@@ -49,7 +49,7 @@
     }
 
     /** Throws IllegalArgumentException that names the line and what is wrong with it. */
-    public static Script of(String text) {
+    public static Script parse(String text) {
         List<Line> lines = new ArrayList<>();
         int number = 0;
         for (String line : text.split("\n")) {
@@ -68,7 +68,7 @@
     }
 
     /** What becomes of one call that comes at {@code at} microseconds from the start. */
-    public Step call(long at, RandomGenerator chance) {
+    public Step nextStep(long at, RandomGenerator chance) {
         Step step = Step.OK;
         for (int i = 0; i < lines.size(); i++) {
             Line line = lines.get(i);
@@ -91,12 +91,12 @@
     }
 
     /** Whether some line says so of the endpoint itself at that time. */
-    public boolean is(Step.Act state, long at) {
+    public boolean isInState(Step.Action state, long at) {
         return lines.stream().anyMatch(line -> line.act == state && line.holds(at));
     }
 
     /** The times, in order, at which the endpoint's own state may change. */
-    public List<Long> changes() {
+    public List<Long> stateChangeTimes() {
         TreeSet<Long> times = new TreeSet<>();
         for (Line line : lines) {
             if (line.act.isState()) {
@@ -136,12 +136,12 @@
             if (word.equals("RESET")) {
                 word += "_" + word().toUpperCase(Locale.ROOT);
             }
-            Step.Act act = null;
-            for (Step.Act one : Step.Act.values()) {
+            Step.Action act = null;
+            for (Step.Action one : Step.Action.values()) {
                 act = one.name().equals(word) ? one : act;
             }
             need(act != null, "unknown act " + word.toLowerCase(Locale.ROOT).replace('_', ' '));
-            int status = act == Step.Act.ANSWER ? (int) figure(100, 599) : 0;
+            int status = act == Step.Action.ANSWER ? (int) figure(100, 599) : 0;
             long least = 0, most = 0, pause = 0;
             double share = 1;
             int every = 1, over = 0;
--- a/standins/src/main/java/yewpath/standins/script/Step.java
+++ b/standins/src/main/java/yewpath/standins/script/Step.java
@@ -1,9 +1,9 @@
 package yewpath.standins.script;
 
 /** What is done with one call, or with the endpoint itself. Times are microseconds. */
-public record Step(Act act, int status, long after, long pause) {
+public record Step(Action act, int status, long after, long pause) {
     /** Those from REFUSE on are states of the endpoint, the others answers to a call. */
-    public enum Act {
+    public enum Action {
         /** Runs it and answers with {@code status} {@code after} so long; {@code pause} as Retry-After. Only 2xx and 5xx but 503 run. */
         ANSWER,
         /** Runs it and never answers. */
@@ -30,10 +30,10 @@
         }
     }
 
-    static final Step OK = new Step(Act.ANSWER, 200, 0, 0);
+    static final Step OK = new Step(Action.ANSWER, 200, 0, 0);
 
     /** Whether the call takes effect. */
-    public boolean runs() {
+    public boolean takesEffect() {
         return switch (act) {
             case ANSWER -> status / 100 == 2 || status / 100 == 5 && status != 503 && status != 504;
             case SILENT, RESET_LAST, GARBLE -> true;
--- a/standins/src/test/java/yewpath/standins/PeersTest.java
+++ b/standins/src/test/java/yewpath/standins/PeersTest.java
@@ -21,13 +21,13 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import yewpath.standins.io.HttpReader;
-import yewpath.standins.io.Message;
+import yewpath.standins.io.Connection;
+import yewpath.standins.io.HttpMessage;
+import yewpath.standins.io.HttpParser;
 import yewpath.standins.io.Reactor;
-import yewpath.standins.io.Wire;
 import yewpath.standins.peer.Endpoint;
 import yewpath.standins.peer.Platform;
-import yewpath.standins.referee.Accounts;
+import yewpath.standins.referee.DeliveryReferee;
 
 /** Peers as a plain socket meets them. */
 public final class PeersTest {
@@ -47,17 +47,17 @@
     }
 
     private Endpoint endpoint(String script) {
-        Endpoint one = new Endpoint(reactor, new Accounts(0, 0), "e", 1, "plain", 5, script,
+        Endpoint one = new Endpoint(reactor, new DeliveryReferee(0, 0), "e", 1, "plain", 5, script,
             new SplittableRandom(1), () -> {});
         reactor.call(() -> {
             one.open();
-            one.begin();
+            one.startScript();
             return null;
         });
         return one;
     }
 
-    private static final byte[] CALL = Message.bytes("POST /inbox HTTP/1.1",
+    private static final byte[] CALL = HttpMessage.encode("POST /inbox HTTP/1.1",
         "hi".getBytes(StandardCharsets.UTF_8), "Request-Id: a");
 
     private static String ask(Endpoint of, byte[] request) throws IOException {
@@ -97,28 +97,28 @@
         assertEquals(reactor.call(one::id), "e-1");
         assertTrue(one.address().getPort() != port);
         expectThrows(ConnectException.class, () -> new Socket("127.0.0.1", port).close());
-        Platform platform = new Platform(reactor, new Accounts(0, 0), List.of(one));
-        assertTrue(reactor.call(platform::list)
+        Platform platform = new Platform(reactor, new DeliveryReferee(0, 0), List.of(one));
+        assertTrue(reactor.call(platform::listJson)
             .contains("\"id\":\"e-1\",\"addr\":\"127.0.0.1:" + one.address().getPort() + '"'));
     }
 
     @Test
     public void messagesAreReadHoweverTheirBytesCome() {
-        HttpReader reader = new HttpReader();
+        HttpParser reader = new HttpParser();
         byte[] two = new String(CALL, StandardCharsets.ISO_8859_1).repeat(2)
             .getBytes(StandardCharsets.ISO_8859_1);
         int whole = 0;
         for (byte b : two) {
-            reader.take(ByteBuffer.wrap(new byte[]{b}));
-            for (Message m = reader.next(); m != null; m = reader.next()) {
-                assertEquals(m.text() + m.header("request-id") + m.method(), "hiaPOST");
+            reader.append(ByteBuffer.wrap(new byte[]{b}));
+            for (HttpMessage m = reader.nextMessage(); m != null; m = reader.nextMessage()) {
+                assertEquals(m.bodyText() + m.header("request-id") + m.method(), "hiaPOST");
                 whole++;
             }
         }
         assertEquals(whole, 2);
-        reader.take(ByteBuffer
+        reader.append(ByteBuffer
             .wrap("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-        expectThrows(IllegalArgumentException.class, reader::next);
+        expectThrows(IllegalArgumentException.class, reader::nextMessage);
     }
 
     @Test
@@ -126,17 +126,17 @@
         int count = 2_000;
         Endpoint one = endpoint("0 s: answer 200 after 50 ms");
         AtomicInteger answered = new AtomicInteger();
-        List<Wire> wires = new ArrayList<>();
+        List<Connection> wires = new ArrayList<>();
         reactor.call(() -> {
             for (int i = 0; i < count; i++) {
-                Wire wire = reactor.connect(one.address(), new Wire.Owner() {
+                Connection wire = reactor.connect(one.address(), new Connection.Handler() {
                     @Override
-                    public void came(ByteBuffer bytes) {
+                    public void received(ByteBuffer bytes) {
                         answered.incrementAndGet();
                     }
 
                     @Override
-                    public void over(boolean broken) {
+                    public void closed(boolean broken) {
                         failures.add(new IOException("ended, broken " + broken));
                     }
                 });
@@ -149,7 +149,7 @@
             Thread.sleep(10);
         }
         assertEquals(answered.get(), count);
-        assertEquals((int) reactor.call(one::connections), count);
+        assertEquals((int) reactor.call(one::connectionCount), count);
     }
 
     @Test
--- a/standins/src/test/java/yewpath/standins/ScriptTest.java
+++ b/standins/src/test/java/yewpath/standins/ScriptTest.java
@@ -20,37 +20,39 @@
     @Test
     public void theLastLineThatHoldsWins() {
         Script script = Script
-            .of("0 s: answer 200 after 5ms\n\n1s-2s: silent # now\n1500 ms - 2 s: answer 429 wait 0.5 s");
-        assertEquals(script.call(999 * MS, chance), new Step(Step.Act.ANSWER, 200, 5 * MS, 0));
-        assertEquals(script.call(1 * S, chance).act(), Step.Act.SILENT);
-        assertEquals(script.call(1_500 * MS, chance), new Step(Step.Act.ANSWER, 429, 0, 500 * MS));
-        assertEquals(script.call(2 * S, chance).status(), 200);
-        assertEquals(Script.of("").call(0, chance), new Step(Step.Act.ANSWER, 200, 0, 0));
+            .parse("0 s: answer 200 after 5ms\n\n1s-2s: silent # now\n1500 ms - 2 s: answer 429 wait 0.5 s");
+        assertEquals(script.nextStep(999 * MS, chance), new Step(Step.Action.ANSWER, 200, 5 * MS, 0));
+        assertEquals(script.nextStep(1 * S, chance).act(), Step.Action.SILENT);
+        assertEquals(script.nextStep(1_500 * MS, chance), new Step(Step.Action.ANSWER, 429, 0, 500 * MS));
+        assertEquals(script.nextStep(2 * S, chance).status(), 200);
+        assertEquals(Script.parse("").nextStep(0, chance), new Step(Step.Action.ANSWER, 200, 0, 0));
     }
 
     @Test
     public void sharesAndTurnsTakeTheirPartOfTheCalls() {
-        Script turns = Script.of("0 s: reset last every 7");
+        Script turns = Script.parse("0 s: reset last every 7");
         List<Integer> reset = IntStream.range(0, 21)
-            .filter(i -> turns.call(0, chance).act() == Step.Act.RESET_LAST).boxed().toList();
+            .filter(i -> turns.nextStep(0, chance).act() == Step.Action.RESET_LAST).boxed().toList();
         assertEquals(reset, List.of(6, 13, 20));
-        Script share = Script.of("0 s: garble share 0.2");
-        long garbled = IntStream.range(0, 10_000).filter(i -> share.call(0, chance).act() == Step.Act.GARBLE)
+        Script share = Script.parse("0 s: garble share 0.2");
+        long garbled = IntStream.range(0, 10_000)
+            .filter(i -> share.nextStep(0, chance).act() == Step.Action.GARBLE)
             .count();
         assertTrue(garbled > 1_800 && garbled < 2_200, "garbled " + garbled);
-        Script between = Script.of("0 s: answer 200 after 10 ms to 20 ms");
-        assertTrue(IntStream.range(0, 1_000).mapToLong(i -> between.call(0, chance).after())
+        Script between = Script.parse("0 s: answer 200 after 10 ms to 20 ms");
+        assertTrue(IntStream.range(0, 1_000).mapToLong(i -> between.nextStep(0, chance).after())
             .allMatch(a -> a >= 10 * MS && a < 20 * MS));
     }
 
     @Test
     public void statesHaveTheirTimes() {
-        Script script = Script.of("1 s - 2 s: refuse\n3 s: drain\n4 s: gone\n0 s: answer 503");
-        assertEquals(script.changes(), List.of(1 * S, 2 * S, 3 * S, 4 * S));
-        assertTrue(script.is(Step.Act.REFUSE, 1 * S) && !script.is(Step.Act.REFUSE, 2 * S)
-            && script.is(Step.Act.DRAIN, 9 * S));
-        assertTrue(!script.call(0, chance).runs() && !Script.of("0 s: reset midway").call(0, chance).runs()
-            && Script.of("0 s: answer 500").call(0, chance).runs());
+        Script script = Script.parse("1 s - 2 s: refuse\n3 s: drain\n4 s: gone\n0 s: answer 503");
+        assertEquals(script.stateChangeTimes(), List.of(1 * S, 2 * S, 3 * S, 4 * S));
+        assertTrue(script.isInState(Step.Action.REFUSE, 1 * S) && !script.isInState(Step.Action.REFUSE, 2 * S)
+            && script.isInState(Step.Action.DRAIN, 9 * S));
+        assertTrue(!script.nextStep(0, chance).takesEffect()
+            && !Script.parse("0 s: reset midway").nextStep(0, chance).takesEffect()
+            && Script.parse("0 s: answer 500").nextStep(0, chance).takesEffect());
     }
 
     @DataProvider
@@ -71,7 +73,7 @@
 
     @Test(dataProvider = "wrong")
     public void aLineThatSaysNothingIsNamed(String line, String why) {
-        String said = expectThrows(IllegalArgumentException.class, () -> Script.of("0 s: silent\n" + line))
+        String said = expectThrows(IllegalArgumentException.class, () -> Script.parse("0 s: silent\n" + line))
             .getMessage();
         assertTrue(said.startsWith("line 2: ") && said.matches("(?s).*(" + why + ").*"), said);
     }
