--- a/standins/src/main/java/yewpath/standins/io/Connection.java
+++ b/standins/src/main/java/yewpath/standins/io/Connection.java
@@ -9,51 +9,62 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayDeque;
 
-/** One connection of a peer, which can also end in ways that a decent program would not choose. */
+/**
+ * One non-blocking TCP connection of a test server or test client. It can also be ended abruptly, which a well-behaved
+ * program avoids. All methods are for the reactor's thread only.
+ */
 public final class Connection {
-    /** Hears what becomes of it, on the reactor's thread; after {@code over} nothing more. */
+    /** Receives the events of a connection, on the reactor's thread. No event follows {@link #closed}. */
     public interface Handler {
+        /** An outgoing connection has been established. */
         default void opened() {}
 
+        /** Bytes were received; the buffer is valid only during this call. */
         void received(ByteBuffer bytes);
 
-        /** {@code broken} tells a reset or a failed connect from an orderly end. */
-        void closed(boolean broken);
+        /**
+         * The connection has ended from the other side or by an error.
+         *
+         * @param abnormal true for a reset or a failed connect, false if the other side closed in the regular way
+         */
+        void closed(boolean abnormal);
     }
 
-    /** Shared by all wires, since the reactor has one thread: what comes is handed on before the next read. */
-    private static final ThreadLocal<ByteBuffer> CAME = ThreadLocal
+    /** Shared by all connections of a thread: the handler consumes the bytes before the next read. */
+    private static final ThreadLocal<ByteBuffer> RECEIVE_BUFFER = ThreadLocal
         .withInitial(() -> ByteBuffer.allocateDirect(64 << 10));
     private final Reactor reactor;
     private final SocketChannel channel;
     private final SelectionKey key;
-    private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-    private Handler owner;
+    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+    private Handler handler;
     private boolean closed;
-    private boolean ending;
+    private boolean shutdownRequested;
 
-    Connection(Reactor reactor, Selector selector, SocketChannel channel, boolean open) throws IOException {
+    Connection(Reactor reactor, Selector selector, SocketChannel channel, boolean established)
+        throws IOException {
         this.reactor = reactor;
         this.channel = channel;
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        key = channel.register(selector, open ? SelectionKey.OP_READ : 0, (Runnable) this::ready);
+        key = channel.register(selector, established ? SelectionKey.OP_READ : 0, (Runnable) this::ready);
     }
 
-    public void setHandler(Handler by) {
-        owner = by;
+    /** Sets the receiver of events; must be called before the connection has an event. */
+    public void setHandler(Handler newHandler) {
+        handler = newHandler;
     }
 
-    void connect(InetSocketAddress to) {
+    void connect(InetSocketAddress remoteAddress) {
         try {
-            if (channel.connect(to)) {
+            if (channel.connect(remoteAddress)) {
                 key.interestOps(SelectionKey.OP_READ);
-                reactor.execute(() -> owner.opened());
+                reactor.execute(() -> handler.opened());
             } else {
                 key.interestOps(SelectionKey.OP_CONNECT);
             }
         } catch (IOException refused) {
-            reactor.execute(() -> fail(true));
+            reactor.execute(() -> closeAndNotify(true));
         }
     }
 
@@ -63,8 +74,8 @@
         }
         try {
             if (key.isConnectable() && channel.finishConnect()) {
-                key.interestOps(SelectionKey.OP_READ | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE));
-                owner.opened();
+                key.interestOps(SelectionKey.OP_READ | (unsent.isEmpty() ? 0 : SelectionKey.OP_WRITE));
+                handler.opened();
             }
             if (!closed && key.isWritable()) {
                 flush();
@@ -72,86 +83,96 @@
             if (!closed && key.isReadable()) {
                 read();
             }
-        } catch (IOException broken) {
-            fail(true);
+        } catch (IOException failure) {
+            closeAndNotify(true);
         }
     }
 
     private void read() throws IOException {
-        ByteBuffer came = CAME.get().clear();
-        int read = channel.read(came);
-        if (read < 0) {
-            fail(false);
-        } else if (read > 0) {
-            owner.received(came.flip());
+        ByteBuffer received = RECEIVE_BUFFER.get().clear();
+        int byteCount = channel.read(received);
+        if (byteCount < 0) {
+            closeAndNotify(false);
+        } else if (byteCount > 0) {
+            handler.received(received.flip());
         }
     }
 
-    private void fail(boolean broken) {
+    private void closeAndNotify(boolean abnormal) {
         if (!closed) {
             close();
-            owner.closed(broken);
+            handler.closed(abnormal);
         }
     }
 
+    /** Returns whether the connection is closed, by either side. */
     public boolean isClosed() {
         return closed;
     }
 
+    /**
+     * Sends bytes in the order of the calls. What the socket does not accept at once, or before the connection is
+     * established, is sent later. Does nothing on a closed connection.
+     */
     public void write(byte[] bytes) {
         if (closed) {
             return;
         }
-        out.add(ByteBuffer.wrap(bytes));
+        unsent.add(ByteBuffer.wrap(bytes));
         if (channel.isConnected()) {
             try {
                 flush();
-            } catch (IOException broken) {
-                reactor.execute(() -> fail(true));
+            } catch (IOException failure) {
+                reactor.execute(() -> closeAndNotify(true));
             }
         }
     }
 
     private void flush() throws IOException {
-        while (!out.isEmpty()) {
-            channel.write(out.peek());
-            if (out.peek().hasRemaining()) {
+        while (!unsent.isEmpty()) {
+            channel.write(unsent.peek());
+            if (unsent.peek().hasRemaining()) {
                 key.interestOps(key.interestOps() | SelectionKey.OP_WRITE);
                 return;
             }
-            out.poll();
+            unsent.poll();
         }
         key.interestOps(key.interestOps() & ~SelectionKey.OP_WRITE);
-        if (ending) {
+        if (shutdownRequested) {
             channel.shutdownOutput();
         }
     }
 
-    /** Reads no more until {@link #resumeReading}: what the other side writes fills the buffers and pushes back. */
+    /**
+     * Stops reading until {@link #resumeReading}. The bytes that the other side sends fill the socket buffers, and then
+     * its writes block.
+     */
     public void pauseReading() {
         if (!closed) {
             key.interestOps(key.interestOps() & ~SelectionKey.OP_READ);
         }
     }
 
+    /** Reads again after {@link #pauseReading}. */
     public void resumeReading() {
         if (!closed) {
             key.interestOps(key.interestOps() | SelectionKey.OP_READ);
         }
     }
 
-    /** Ends its sending once all is written; goes on reading. */
+    /** Closes the sending direction once all bytes are written; the connection can still receive. */
     public void shutdownOutput() {
-        ending = true;
-        if (!closed && out.isEmpty()) {
+        shutdownRequested = true;
+        if (!closed && unsent.isEmpty()) {
             try {
                 channel.shutdownOutput();
-            } catch (IOException broken) {
-                reactor.execute(() -> fail(true));
+            } catch (IOException failure) {
+                reactor.execute(() -> closeAndNotify(true));
             }
         }
     }
 
+    /** Closes the connection without an event to the handler. */
     public void close() {
         closed = true;
         try {
@@ -161,12 +182,12 @@
         }
     }
 
-    /** Ends it by a reset: what was written and not read by the other side is lost. */
+    /** Closes the connection by a TCP reset: bytes that the other side has not read yet are lost. */
     public void reset() {
         try {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException ignored) {
-            // Closed by the other side already.
+            // The other side has already closed the connection.
         }
         close();
     }
--- a/standins/src/main/java/yewpath/standins/io/Reactor.java
+++ b/standins/src/main/java/yewpath/standins/io/Reactor.java
@@ -18,26 +18,32 @@
 import java.util.concurrent.ExecutionException;
 import java.util.function.Consumer;
 
-/** One thread on which all peers of a process live: nothing handed to it may block. Loopback only. */
+/**
+ * An event loop: one thread on which all test servers and test clients of a process run. Tasks and handlers must not
+ * block. Only loopback addresses are allowed.
+ */
 public final class Reactor implements AutoCloseable {
-    /** Something due at a time, unless called off. */
+    /** A task that is scheduled for a time and can be cancelled until then. */
     public static final class Timer {
-        private final long at;
-        private final long order;
-        private Runnable act;
-
-        private Timer(long at, long order, Runnable act) {
-            this.at = at;
-            this.order = order;
-            this.act = act;
+        private final long dueMicros;
+        /** Position among all timers by creation: timers that are due at the same time run in this order. */
+        private final long sequence;
+        /** Null once cancelled. */
+        private Runnable task;
+
+        private Timer(long dueMicros, long sequence, Runnable task) {
+            this.dueMicros = dueMicros;
+            this.sequence = sequence;
+            this.task = task;
         }
 
+        /** Prevents the task from running; has no effect once it has run. */
         public void cancel() {
-            act = null;
+            task = null;
         }
     }
 
-    /** A port that takes connections until it is shut. */
+    /** A listening socket. */
     public final class ServerPort {
         private final ServerSocketChannel channel;
 
@@ -45,6 +51,7 @@
             this.channel = channel;
         }
 
+        /** Returns the bound address, with the port that the system chose if port 0 was asked for. */
         public InetSocketAddress address() {
             try {
                 return (InetSocketAddress) channel.getLocalAddress();
@@ -53,11 +60,11 @@
             }
         }
 
-        /** New connections are refused from now on; open ones stay. */
+        /** Stops listening, so that new connections are refused; accepted connections stay open. */
         public void close() {
             try {
                 channel.close();
-                // A closed channel keeps its port until its key is dropped by the next select.
+                // A closed channel keeps its port bound until the next select removes its key.
                 selector.selectNow();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -67,47 +74,55 @@
 
     private final Selector selector;
     private final Thread thread;
-    private final ConcurrentLinkedQueue<Runnable> handedIn = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>(
-        (a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-            : Long.compare(a.order, b.order));
-    private final long origin = System.nanoTime();
-    private final Consumer<Throwable> failed;
-    private long ordered;
+        (a, b) -> a.dueMicros != b.dueMicros ? Long.compare(a.dueMicros, b.dueMicros)
+            : Long.compare(a.sequence, b.sequence));
+    private final long startNanos = System.nanoTime();
+    private final Consumer<Throwable> failureHandler;
+    private long nextSequence;
     private volatile boolean closed;
 
-    /** {@code failed} hears of what an act threw; the others go on. */
-    public Reactor(Consumer<Throwable> failed) throws IOException {
-        this.failed = failed;
+    /**
+     * Starts the thread, as a daemon.
+     *
+     * @param failureHandler receives what a task or handler throws; the other tasks continue
+     */
+    public Reactor(Consumer<Throwable> failureHandler) throws IOException {
+        this.failureHandler = failureHandler;
         selector = Selector.open();
-        thread = new Thread(this::turn, "yewpath-standins");
+        thread = new Thread(this::runLoop, "yewpath-standins");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Microseconds since it was made. */
+    /** Returns the time in microseconds since this reactor was created. */
     public long nowMicros() {
-        return (System.nanoTime() - origin) / 1000;
+        return (System.nanoTime() - startNanos) / 1000;
     }
 
-    /** Runs it on the reactor's thread, soon. */
-    public void execute(Runnable act) {
-        handedIn.add(act);
+    /** Runs a task on the reactor's thread as soon as possible; may be called from any thread. */
+    public void execute(Runnable task) {
+        submittedTasks.add(task);
         selector.wakeup();
     }
 
-    /** Runs it there and waits for what it gives; not to be called on the reactor's own thread. */
-    public <T> T call(Callable<T> act) {
-        CompletableFuture<T> done = new CompletableFuture<>();
+    /**
+     * Runs a task on the reactor's thread and waits for its result. Must not be called on the reactor's own thread.
+     *
+     * @throws IllegalStateException with what the task threw as its cause, or if the wait is interrupted
+     */
+    public <T> T call(Callable<T> task) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         execute(() -> {
             try {
-                done.complete(act.call());
+                result.complete(task.call());
             } catch (Exception e) {
-                done.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
         try {
-            return done.get();
+            return result.get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
@@ -116,101 +131,117 @@
         }
     }
 
-    /** Only on the reactor's thread, as all below. */
-    public Timer schedule(long micros, Runnable act) {
-        Timer timer = new Timer(nowMicros() + Math.max(0, micros), ordered++, act);
+    /**
+     * Runs a task after a delay; a negative delay counts as none. Only for the reactor's thread, like
+     * {@link #listen} and {@link #connect}.
+     */
+    public Timer schedule(long delayMicros, Runnable task) {
+        Timer timer = new Timer(nowMicros() + Math.max(0, delayMicros), nextSequence++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** ServerPort 0 takes any free one. A small receive buffer lets a peer push back early. */
-    public ServerPort listen(InetSocketAddress at, int receiveBuffer, Consumer<Connection> accepted)
-        throws IOException {
-        onLoopback(at);
+    /**
+     * Listens on a loopback address.
+     *
+     * @param address port 0 stands for any free port
+     * @param receiveBufferBytes 0 for the system's default; with a small buffer the sender's writes block early
+     * @param acceptHandler is called with each accepted connection and must set its handler
+     * @throws IllegalArgumentException if the address is not on loopback
+     */
+    public ServerPort listen(InetSocketAddress address, int receiveBufferBytes,
+        Consumer<Connection> acceptHandler) throws IOException {
+        requireLoopback(address);
         ServerSocketChannel channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        if (receiveBuffer > 0) {
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, receiveBuffer);
+        if (receiveBufferBytes > 0) {
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, receiveBufferBytes);
         }
-        channel.bind(at, 4_096);
+        channel.bind(address, 4_096);
         channel.configureBlocking(false);
-        channel.register(selector, SelectionKey.OP_ACCEPT, (Runnable) () -> accept(channel, accepted));
+        channel.register(selector, SelectionKey.OP_ACCEPT, (Runnable) () -> accept(channel, acceptHandler));
         return new ServerPort(channel);
     }
 
-    private void accept(ServerSocketChannel from, Consumer<Connection> accepted) {
+    private void accept(ServerSocketChannel server, Consumer<Connection> acceptHandler) {
         try {
-            for (SocketChannel one = from.accept(); one != null; one = from.accept()) {
-                accepted.accept(new Connection(this, selector, one, true));
+            for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
+                acceptHandler.accept(new Connection(this, selector, channel, true));
             }
         } catch (IOException e) {
-            failed.accept(e);
+            failureHandler.accept(e);
         }
     }
 
-    public Connection connect(InetSocketAddress to, Connection.Handler owner) {
-        onLoopback(to);
+    /**
+     * Starts to connect to a loopback address. The connection can be written to at once; a failed connect is reported
+     * to {@code handler} as an abnormal close.
+     *
+     * @throws IllegalArgumentException if the address is not on loopback
+     */
+    public Connection connect(InetSocketAddress remoteAddress, Connection.Handler handler) {
+        requireLoopback(remoteAddress);
         try {
             SocketChannel channel = SocketChannel.open();
-            Connection wire = new Connection(this, selector, channel, false);
-            wire.setHandler(owner);
-            wire.connect(to);
-            return wire;
+            Connection connection = new Connection(this, selector, channel, false);
+            connection.setHandler(handler);
+            connection.connect(remoteAddress);
+            return connection;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static void onLoopback(InetSocketAddress at) {
-        InetAddress address = at.getAddress();
+    private static void requireLoopback(InetSocketAddress socketAddress) {
+        InetAddress address = socketAddress.getAddress();
         if (address == null || !address.isLoopbackAddress()) {
-            throw new IllegalArgumentException("not on loopback: " + at);
+            throw new IllegalArgumentException("only loopback addresses are allowed, not " + socketAddress);
         }
     }
 
-    private void turn() {
+    private void runLoop() {
         while (!closed) {
             try {
                 Timer next = timers.peek();
-                long wait = next == null ? 1_000 : (next.at - nowMicros() + 999) / 1000;
-                if (wait <= 0 || !handedIn.isEmpty()) {
+                long waitMillis = next == null ? 1_000 : (next.dueMicros - nowMicros() + 999) / 1000;
+                if (waitMillis <= 0 || !submittedTasks.isEmpty()) {
                     selector.selectNow();
                 } else {
-                    selector.select(wait);
+                    selector.select(waitMillis);
                 }
                 for (SelectionKey key : selector.selectedKeys()) {
-                    safely((Runnable) key.attachment());
+                    runGuarded((Runnable) key.attachment());
                 }
                 selector.selectedKeys().clear();
-                for (Runnable act = handedIn.poll(); act != null; act = handedIn.poll()) {
-                    safely(act);
+                for (Runnable task = submittedTasks.poll(); task != null; task = submittedTasks.poll()) {
+                    runGuarded(task);
                 }
-                long now = nowMicros();
-                while (!timers.isEmpty() && timers.peek().at <= now) {
-                    Runnable act = timers.poll().act;
-                    if (act != null) {
-                        safely(act);
+                long nowMicros = nowMicros();
+                while (!timers.isEmpty() && timers.peek().dueMicros <= nowMicros) {
+                    Runnable task = timers.poll().task;
+                    if (task != null) {
+                        runGuarded(task);
                     }
                 }
-            } catch (ClosedSelectorException over) {
+            } catch (ClosedSelectorException reactorClosed) {
                 return;
             } catch (IOException e) {
-                failed.accept(e);
+                failureHandler.accept(e);
             }
         }
     }
 
-    private void safely(Runnable act) {
+    private void runGuarded(Runnable task) {
         try {
-            act.run();
-        } catch (CancelledKeyException over) {
+            task.run();
+        } catch (CancelledKeyException connectionClosed) {
             return;
         } catch (RuntimeException e) {
-            failed.accept(e);
+            failureHandler.accept(e);
         }
     }
 
-    /** Ends the thread and every connection and port. */
+    /** Stops the thread and closes all connections and listening sockets. */
     @Override
     public void close() {
         execute(() -> {
@@ -229,7 +260,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            failed.accept(e);
+            failureHandler.accept(e);
         }
     }
 }
--- a/standins/src/main/java/yewpath/standins/io/package-info.java
+++ b/standins/src/main/java/yewpath/standins/io/package-info.java
@@ -1,2 +1,5 @@
-/** One thread and one selector for some thousands of connections; HTTP/1.1 messages as they come and go. */
+/**
+ * Non-blocking sockets and HTTP/1.1 messages for the test servers: one thread with one selector serves several thousand
+ * connections.
+ */
 package yewpath.standins.io;
