--- a/standins/src/main/java/yewpath/standins/demo/Demo.java
+++ b/standins/src/main/java/yewpath/standins/demo/Demo.java
@@ -146,9 +146,9 @@
         TreeMap<String, Histogram> delays = new TreeMap<>();
         TreeMap<String, int[]> ends = new TreeMap<>();
         for (DeliveryReferee.MessageRecord one : accounts.messages()) {
-            ends.computeIfAbsent(one.offering, name -> new int[4])[one.state.ordinal()]++;
+            ends.computeIfAbsent(one.messageClass, name -> new int[4])[one.state.ordinal()]++;
             if (one.state == DeliveryState.DELIVERED) {
-                delays.computeIfAbsent(one.offering, name -> new Histogram(60 * SECOND, 3))
+                delays.computeIfAbsent(one.messageClass, name -> new Histogram(60 * SECOND, 3))
                     .recordValue(Math.max(0, one.endedAtMicros - one.submittedAtMicros));
             }
         }
--- a/standins/src/main/java/yewpath/standins/referee/package-info.java
+++ b/standins/src/main/java/yewpath/standins/referee/package-info.java
@@ -1,2 +1,5 @@
-/** What was owed and what became of it, envelope by envelope, kept apart from all that the relay says of itself. */
+/**
+ * Checks the delivery rules: records what clients submitted and what became of each message, independently of anything
+ * that the relay reports about itself.
+ */
 package yewpath.standins.referee;
