--- a/standins/src/main/java/yewpath/standins/peer/Endpoint.java
+++ b/standins/src/main/java/yewpath/standins/peer/Endpoint.java
@@ -187,13 +187,13 @@
             if (!reader.hasPartialMessage() && step == null) {
                 firstByteAt = reactor.nowMicros();
                 step = script.nextStep(firstByteAt - startedAt, chance);
-                if (step.act() == Step.Action.RESET_FIRST) {
+                if (step.action() == Step.Action.RESET_FIRST) {
                     reset();
                     return;
                 }
-                if (step.act() == Step.Action.RESET_MIDWAY) {
+                if (step.action() == Step.Action.RESET_MIDWAY) {
                     wire.pauseReading();
-                    reactor.schedule(Math.max(1, step.after()), this::reset);
+                    reactor.schedule(Math.max(1, step.delayMicros()), this::reset);
                     return;
                 }
             }
@@ -222,10 +222,10 @@
             if (mine.takesEffect()) {
                 out.forEach(id -> accounts.executed(id, now));
             }
-            switch (mine.act()) {
-                case ANSWER -> reactor.schedule(mine.after(), () -> answer(mine, bulk));
-                case GARBLE -> reactor.schedule(mine.after(), () -> garble());
-                case RESET_LAST -> reactor.schedule(mine.after(), this::reset);
+            switch (mine.action()) {
+                case ANSWER -> reactor.schedule(mine.delayMicros(), () -> answer(mine, bulk));
+                case GARBLE -> reactor.schedule(mine.delayMicros(), () -> garble());
+                case RESET_LAST -> reactor.schedule(mine.delayMicros(), this::reset);
                 default -> wire.resumeReading();
             }
         }
@@ -237,10 +237,11 @@
             long now = reactor.nowMicros();
             List<String> over = ended(mine.status() == 200, now);
             refusals += mine.status() == 429 ? 1 : 0;
-            if (mine.pause() > 0) {
+            if (mine.waitMicros() > 0) {
                 accounts.waitAdvertised(over.isEmpty() ? "" : over.get(0), "destination " + destination,
-                    mine.pause(), now);
-                wire.write(HttpMessage.encodeResponse(mine.status(), "Retry-After: " + mine.pause() / 1e6));
+                    mine.waitMicros(), now);
+                wire.write(
+                    HttpMessage.encodeResponse(mine.status(), "Retry-After: " + mine.waitMicros() / 1e6));
             } else if (bulk && mine.status() == 200) {
                 wire.write(HttpMessage.encode("HTTP/1.1 200 -", allDone(over)));
             } else {
--- a/standins/src/main/java/yewpath/standins/peer/package-info.java
+++ b/standins/src/main/java/yewpath/standins/peer/package-info.java
@@ -1,2 +1,5 @@
-/** The relay's other sides: endpoints with scripts, the platform with its list and its ear for notices, clients. */
+/**
+ * The programs that a relay communicates with: endpoints that follow scripts, the platform with the discovery list and
+ * the receiver of notices, and clients.
+ */
 package yewpath.standins.peer;
--- a/standins/src/main/java/yewpath/standins/script/Step.java
+++ b/standins/src/main/java/yewpath/standins/script/Step.java
@@ -1,28 +1,41 @@
 package yewpath.standins.script;
 
-/** What is done with one call, or with the endpoint itself. Times are microseconds. */
-public record Step(Action act, int status, long after, long pause) {
-    /** Those from REFUSE on are states of the endpoint, the others answers to a call. */
+/**
+ * What an endpoint does with one call.
+ *
+ * @param action what is done
+ * @param status HTTP status of the answer for {@link Action#ANSWER}, else 0
+ * @param delayMicros time until the answer or reset
+ * @param waitMicros value of the Retry-After header of the answer, 0 for no header
+ */
+public record Step(Action action, int status, long delayMicros, long waitMicros) {
+    /**
+     * The actions of a script. Up to GARBLE they are reactions to a call; from REFUSE on they are states of the endpoint.
+     * The names of the constants are words of the script, with an underscore in place of a space.
+     */
     public enum Action {
-        /** Runs it and answers with {@code status} {@code after} so long; {@code pause} as Retry-After. Only 2xx and 5xx but 503 run. */
+        /** Answers with a status. Statuses 2xx, and 5xx except 503 and 504, mean that the call is executed. */
         ANSWER,
-        /** Runs it and never answers. */
+        /** Executes the call and never answers. */
         SILENT,
-        /** Resets the connection at the call's first byte: it does not run. */
+        /** Resets the connection at the first byte of the call, without executing it. */
         RESET_FIRST,
-        /** Takes some of it and reads no more, then resets {@code after} so long: a large one never arrives whole. */
+        /**
+         * Stops reading at the first byte of the call and resets the connection after the delay, without executing the
+         * call. A large call never arrives completely.
+         */
         RESET_MIDWAY,
-        /** Runs it and resets the connection instead of an answer. */
+        /** Executes the call and resets the connection instead of answering. */
         RESET_LAST,
-        /** Runs it and answers with what is no HTTP. */
+        /** Executes the call and answers with bytes that are not HTTP. */
         GARBLE,
-        /** Connections are refused, and open ones reset. */
+        /** Refuses new connections and resets open ones. */
         REFUSE,
-        /** The list has it as draining. */
+        /** The discovery list shows the endpoint as draining. */
         DRAIN,
-        /** The list has it no more. */
+        /** The discovery list no longer contains the endpoint. */
         GONE,
-        /** The list has another id for it, at a new port; the old port is shut. */
+        /** The discovery list shows the endpoint under another id and a new port; the old port is closed. */
         REPLACED;
 
         boolean isState() {
@@ -30,11 +43,11 @@
         }
     }
 
-    static final Step OK = new Step(Action.ANSWER, 200, 0, 0);
+    static final Step DEFAULT = new Step(Action.ANSWER, 200, 0, 0);
 
-    /** Whether the call takes effect. */
+    /** Returns whether the endpoint executes the call. */
     public boolean takesEffect() {
-        return switch (act) {
+        return switch (action) {
             case ANSWER -> status / 100 == 2 || status / 100 == 5 && status != 503 && status != 504;
             case SILENT, RESET_LAST, GARBLE -> true;
             default -> false;
--- a/standins/src/main/java/yewpath/standins/script/package-info.java
+++ b/standins/src/main/java/yewpath/standins/script/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What goes wrong with a peer, and when, as lines of text. Pure: time and chance are handed in. The notation is in
- * {@link yewpath.standins.script.Script}.
+ * Scripts that say which faults a test endpoint has and when, as lines of text. Does no I/O: the time and the random
+ * numbers are arguments. {@link yewpath.standins.script.Script} describes the notation.
  */
 package yewpath.standins.script;
--- a/standins/src/test/java/yewpath/standins/ScriptTest.java
+++ b/standins/src/test/java/yewpath/standins/ScriptTest.java
@@ -12,51 +12,52 @@
 import yewpath.standins.script.Script;
 import yewpath.standins.script.Step;
 
-/** What scripts say, when, and what is said of those that say nothing. */
+/** Checks the meaning of script lines and the errors for lines that are not valid. */
 public final class ScriptTest {
     private static final long MS = 1_000, S = 1_000_000;
-    private final SplittableRandom chance = new SplittableRandom(1);
+    private final SplittableRandom random = new SplittableRandom(1);
 
     @Test
-    public void theLastLineThatHoldsWins() {
+    public void lastLineInForceDecides() {
         Script script = Script
             .parse("0 s: answer 200 after 5ms\n\n1s-2s: silent # now\n1500 ms - 2 s: answer 429 wait 0.5 s");
-        assertEquals(script.nextStep(999 * MS, chance), new Step(Step.Action.ANSWER, 200, 5 * MS, 0));
-        assertEquals(script.nextStep(1 * S, chance).act(), Step.Action.SILENT);
-        assertEquals(script.nextStep(1_500 * MS, chance), new Step(Step.Action.ANSWER, 429, 0, 500 * MS));
-        assertEquals(script.nextStep(2 * S, chance).status(), 200);
-        assertEquals(Script.parse("").nextStep(0, chance), new Step(Step.Action.ANSWER, 200, 0, 0));
+        assertEquals(script.nextStep(999 * MS, random), new Step(Step.Action.ANSWER, 200, 5 * MS, 0));
+        assertEquals(script.nextStep(1 * S, random).action(), Step.Action.SILENT);
+        assertEquals(script.nextStep(1_500 * MS, random), new Step(Step.Action.ANSWER, 429, 0, 500 * MS));
+        assertEquals(script.nextStep(2 * S, random).status(), 200);
+        assertEquals(Script.parse("").nextStep(0, random), new Step(Step.Action.ANSWER, 200, 0, 0));
     }
 
     @Test
-    public void sharesAndTurnsTakeTheirPartOfTheCalls() {
-        Script turns = Script.parse("0 s: reset last every 7");
-        List<Integer> reset = IntStream.range(0, 21)
-            .filter(i -> turns.nextStep(0, chance).act() == Step.Action.RESET_LAST).boxed().toList();
-        assertEquals(reset, List.of(6, 13, 20));
-        Script share = Script.parse("0 s: garble share 0.2");
+    public void shareAndEveryApplyToTheirPartOfTheCalls() {
+        Script everySeventh = Script.parse("0 s: reset last every 7");
+        List<Integer> resetCalls = IntStream.range(0, 21)
+            .filter(call -> everySeventh.nextStep(0, random).action() == Step.Action.RESET_LAST).boxed()
+            .toList();
+        assertEquals(resetCalls, List.of(6, 13, 20));
+        Script shareOfCalls = Script.parse("0 s: garble share 0.2");
         long garbled = IntStream.range(0, 10_000)
-            .filter(i -> share.nextStep(0, chance).act() == Step.Action.GARBLE)
+            .filter(call -> shareOfCalls.nextStep(0, random).action() == Step.Action.GARBLE)
             .count();
         assertTrue(garbled > 1_800 && garbled < 2_200, "garbled " + garbled);
-        Script between = Script.parse("0 s: answer 200 after 10 ms to 20 ms");
-        assertTrue(IntStream.range(0, 1_000).mapToLong(i -> between.nextStep(0, chance).after())
-            .allMatch(a -> a >= 10 * MS && a < 20 * MS));
+        Script delayRange = Script.parse("0 s: answer 200 after 10 ms to 20 ms");
+        assertTrue(IntStream.range(0, 1_000).mapToLong(call -> delayRange.nextStep(0, random).delayMicros())
+            .allMatch(delay -> delay >= 10 * MS && delay < 20 * MS));
     }
 
     @Test
-    public void statesHaveTheirTimes() {
+    public void statesBeginAndEndAtTheirTimes() {
         Script script = Script.parse("1 s - 2 s: refuse\n3 s: drain\n4 s: gone\n0 s: answer 503");
         assertEquals(script.stateChangeTimes(), List.of(1 * S, 2 * S, 3 * S, 4 * S));
         assertTrue(script.isInState(Step.Action.REFUSE, 1 * S) && !script.isInState(Step.Action.REFUSE, 2 * S)
             && script.isInState(Step.Action.DRAIN, 9 * S));
-        assertTrue(!script.nextStep(0, chance).takesEffect()
-            && !Script.parse("0 s: reset midway").nextStep(0, chance).takesEffect()
-            && Script.parse("0 s: answer 500").nextStep(0, chance).takesEffect());
+        assertTrue(!script.nextStep(0, random).takesEffect()
+            && !Script.parse("0 s: reset midway").nextStep(0, random).takesEffect()
+            && Script.parse("0 s: answer 500").nextStep(0, random).takesEffect());
     }
 
     @DataProvider
-    public Object[][] wrong() {
+    public Object[][] invalidLines() {
         return new Object[][]{
             {"0 s answer 200", "colon"}, {"0: silent", "unit|too soon|us, ms and s"},
             {"1 h: silent", "us, ms and s"},
@@ -71,10 +72,12 @@
         };
     }
 
-    @Test(dataProvider = "wrong")
-    public void aLineThatSaysNothingIsNamed(String line, String why) {
-        String said = expectThrows(IllegalArgumentException.class, () -> Script.parse("0 s: silent\n" + line))
+    @Test(dataProvider = "invalidLines")
+    public void errorNamesTheInvalidLine(String line, String expectedText) {
+        String message = expectThrows(IllegalArgumentException.class,
+            () -> Script.parse("0 s: silent\n" + line))
             .getMessage();
-        assertTrue(said.startsWith("line 2: ") && said.matches("(?s).*(" + why + ").*"), said);
+        assertTrue(message.startsWith("line 2: ") && message.matches("(?s).*(" + expectedText + ").*"),
+            message);
     }
 }
