--- a/standins/src/main/java/yewpath/standins/peer/Client.java
+++ b/standins/src/main/java/yewpath/standins/peer/Client.java
@@ -10,114 +10,122 @@
 import yewpath.standins.referee.DeliveryReferee;
 
 /**
- * Clients of one relay: hands in an envelope on a connection that is free, or on a new one, and waits 400 ms for its
- * answer as the protocol has it. One request a connection at a time.
+ * The clients of one relay. Submits each message on an idle connection, or on a new one if none is idle, and waits
+ * 400 ms for the answer, as the protocol specifies. A connection carries one request at a time.
  */
 public final class Client {
-    private static final long PATIENCE = 400_000;
+    private static final long ANSWER_TIMEOUT_MICROS = 400_000;
 
     private final Reactor reactor;
-    private final DeliveryReferee accounts;
+    private final DeliveryReferee referee;
     private final InetSocketAddress relay;
-    private final ArrayDeque<Link> free = new ArrayDeque<>();
-    private int connections;
-    private long unanswered;
+    private final ArrayDeque<RelayConnection> idleConnections = new ArrayDeque<>();
+    private int connectionCount;
+    private long unansweredCount;
 
-    public Client(Reactor reactor, DeliveryReferee accounts, InetSocketAddress relay) {
+    public Client(Reactor reactor, DeliveryReferee referee, InetSocketAddress relay) {
         this.reactor = reactor;
-        this.accounts = accounts;
+        this.referee = referee;
         this.relay = relay;
     }
 
-    /** Only on the reactor's thread, as all below. {@code key} may be null. */
-    public void submit(String id, String offering, DeliveryReferee.DeliverySemantics kind, int destination,
-        String key,
-        long within,
-        byte[] body) {
-        accounts.submitted(id, offering, relay.toString(), kind, reactor.nowMicros(), within);
-        byte[] request = HttpMessage.encode("POST /" + offering + " HTTP/1.1", body, "Host: relay",
+    /**
+     * Submits a message and reports its course to the referee. Like the methods below only for the reactor's thread.
+     *
+     * @param key value of the Affinity-Key header, null for none
+     * @param timeoutMicros time until the message's deadline
+     */
+    public void submit(String id, String messageClass, DeliveryReferee.DeliverySemantics semantics,
+        int destination, String key, long timeoutMicros, byte[] body) {
+        referee.submitted(id, messageClass, relay.toString(), semantics, reactor.nowMicros(), timeoutMicros);
+        byte[] request = HttpMessage.encode("POST /" + messageClass + " HTTP/1.1", body, "Host: relay",
             "Request-Id: " + id,
-            "Request-Timeout: " + within + "u", "X-Addressing: dest=" + destination, "Tenant: demo",
+            "Request-Timeout: " + timeoutMicros + "u", "X-Addressing: dest=" + destination, "Tenant: demo",
             key == null ? "X-None: 0" : "Affinity-Key: " + key);
-        Link link = free.pollLast();
-        (link == null ? new Link() : link).ask(id, request, link != null);
+        RelayConnection connection = idleConnections.pollLast();
+        (connection == null ? new RelayConnection() : connection).send(id, request, connection != null);
     }
 
+    /** Returns the number of open connections. */
     public int connectionCount() {
-        return connections;
+        return connectionCount;
     }
 
-    /** Requests that the relay neither answered nor turned away in time. */
+    /** Returns how many requests the relay did not answer in time, neither with success nor with an error. */
     public long unansweredCount() {
-        return unanswered;
+        return unansweredCount;
     }
 
-    /** One connection. */
-    private final class Link implements Connection.Handler {
-        private final Connection wire;
-        private final HttpParser reader = new HttpParser();
-        private String id;
+    /** One connection to the relay. */
+    private final class RelayConnection implements Connection.Handler {
+        private final Connection connection;
+        private final HttpParser parser = new HttpParser();
+        /** The message whose answer is awaited, null if the connection is idle. */
+        private String messageId;
         private byte[] request;
-        private boolean kept;
-        private Reactor.Timer patience;
+        /** Whether the connection had carried a request before this one. */
+        private boolean reused;
+        private Reactor.Timer answerTimeout;
 
-        Link() {
-            connections++;
-            wire = reactor.connect(relay, this);
+        RelayConnection() {
+            connectionCount++;
+            connection = reactor.connect(relay, this);
         }
 
-        void ask(String envelope, byte[] bytes, boolean onKept) {
-            id = envelope;
-            request = bytes;
-            kept = onKept;
-            patience = reactor.schedule(PATIENCE, () -> {
-                unanswered++;
-                ended(0);
+        void send(String id, byte[] requestBytes, boolean isReused) {
+            messageId = id;
+            request = requestBytes;
+            reused = isReused;
+            answerTimeout = reactor.schedule(ANSWER_TIMEOUT_MICROS, () -> {
+                unansweredCount++;
+                completed(0);
                 close();
             });
-            wire.write(bytes);
+            connection.write(requestBytes);
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            reader.append(bytes);
-            HttpMessage answer = reader.nextMessage();
-            if (answer == null || id == null) {
+            parser.append(bytes);
+            HttpMessage answer = parser.nextMessage();
+            if (answer == null || messageId == null) {
                 return;
             }
-            ended(answer.status());
+            completed(answer.status());
             if ("close".equals(answer.header("connection"))) {
                 close();
             } else {
-                free.addLast(this);
+                idleConnections.addLast(this);
             }
         }
 
-        private void ended(int status) {
-            patience.cancel();
-            String envelope = id;
-            id = null;
-            accounts.clientAnswered(envelope, status, reactor.nowMicros());
+        /** {@code status} is 0 if there was no answer. */
+        private void completed(int status) {
+            answerTimeout.cancel();
+            String id = messageId;
+            messageId = null;
+            referee.clientAnswered(id, status, reactor.nowMicros());
         }
 
         private void close() {
-            wire.close();
-            free.remove(this);
-            connections--;
+            connection.close();
+            idleConnections.remove(this);
+            connectionCount--;
         }
 
         @Override
-        public void closed(boolean broken) {
-            String envelope = id;
+        public void closed(boolean abnormal) {
+            String id = messageId;
             close();
-            if (envelope != null) {
-                patience.cancel();
-                if (kept) {
-                    // The closing has crossed the request: the protocol has it sent once more, on a new connection.
-                    new Link().ask(envelope, request, false);
+            if (id != null) {
+                answerTimeout.cancel();
+                if (reused) {
+                    // The relay closed the idle connection while the request was on its way. The protocol asks the
+                    // client to send the request once more on a new connection.
+                    new RelayConnection().send(id, request, false);
                 } else {
-                    unanswered++;
-                    ended(0);
+                    unansweredCount++;
+                    completed(0);
                 }
             }
         }
--- a/standins/src/main/java/yewpath/standins/peer/Endpoint.java
+++ b/standins/src/main/java/yewpath/standins/peer/Endpoint.java
@@ -23,57 +23,74 @@
 import yewpath.standins.script.Script;
 import yewpath.standins.script.Step;
 
-/** One endpoint: answers calls as its script says, one by one or in bundles, and tells the accounts what it saw. */
+/**
+ * A test endpoint. Answers calls, which carry one message or a batch, as its script says, and reports them to the
+ * referee.
+ */
 public final class Endpoint implements ListedEndpoint {
     private static final JsonFactory JSON = new JsonFactory();
-    /** Small, so that a large call has not arrived whole while it is not read. */
-    private static final int RECEIVE = 4 << 10;
+    /** Small, so that a large call cannot arrive completely while the endpoint does not read. */
+    private static final int RECEIVE_BUFFER_BYTES = 4 << 10;
 
+    /** Also the id in the discovery list until the endpoint is replaced. */
     public final String name;
     private final int destination;
     private final String kind;
     private final double weight;
     private final Reactor reactor;
-    private final DeliveryReferee accounts;
+    private final DeliveryReferee referee;
     private final Script script;
-    private final RandomGenerator chance;
-    private final Set<Visit> visits = new LinkedHashSet<>();
-    private final Runnable changed;
+    private final RandomGenerator random;
+    private final Set<RelayConnection> connections = new LinkedHashSet<>();
+    private final Runnable stateChanged;
     private Reactor.ServerPort port;
     private InetSocketAddress address;
+    /** How often the endpoint has been replaced, at most once. */
     private int generation;
     private String zone = "here";
-    private long startedAt;
-    private long calls;
-    private long refusals;
+    /** When the script started, on the reactor's clock. */
+    private long scriptStartMicros;
+    private long callCount;
+    private long rejectionCount;
 
-    /** {@code changed} is called when the list should say something else of it. */
-    public Endpoint(Reactor reactor, DeliveryReferee accounts, String name, int destination, String kind,
+    /**
+     * @param kind see {@link ListedEndpoint#kind}
+     * @param weight see {@link ListedEndpoint#weight}
+     * @param script see {@link Script}
+     * @param stateChanged is called when the discovery list has to be published again
+     * @throws IllegalArgumentException if the script is not valid
+     */
+    public Endpoint(Reactor reactor, DeliveryReferee referee, String name, int destination, String kind,
         double weight,
-        String script, RandomGenerator chance, Runnable changed) {
+        String script, RandomGenerator random, Runnable stateChanged) {
         this.reactor = reactor;
-        this.accounts = accounts;
+        this.referee = referee;
         this.name = name;
         this.destination = destination;
         this.kind = kind;
         this.weight = weight;
         this.script = Script.parse(script);
-        this.chance = chance;
-        this.changed = changed;
+        this.random = random;
+        this.stateChanged = stateChanged;
     }
 
-    /** Opens its port; the script's time counts from {@link #startScript}. Only on the reactor's thread, as all below. */
+    /**
+     * Listens on any free port of loopback. Like the methods below only for the reactor's thread.
+     *
+     * @throws IOException if the port cannot be opened
+     */
     public void open() throws IOException {
-        port = reactor.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), RECEIVE,
-            Visit::new);
+        port = reactor.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
+            RECEIVE_BUFFER_BYTES,
+            RelayConnection::new);
         address = port.address();
     }
 
-    /** From now on the script's time runs. */
+    /** Starts the script: its times count from now. */
     public void startScript() {
-        startedAt = reactor.nowMicros();
-        for (long at : script.stateChangeTimes()) {
-            reactor.schedule(at, this::turn);
+        scriptStartMicros = reactor.nowMicros();
+        for (long changeMicros : script.stateChangeTimes()) {
+            reactor.schedule(changeMicros, this::applyStates);
         }
     }
 
@@ -92,7 +109,7 @@
         return weight;
     }
 
-    /** Under which id the list has it now: another after it was replaced. */
+    /** Returns the id in the discovery list, which changes when the endpoint is replaced. */
     @Override
     public String id() {
         return generation == 0 ? name : name + "-" + generation;
@@ -103,51 +120,52 @@
         return address;
     }
 
-    /** As the list has it: up, draining or removed. */
     @Override
     public String state() {
-        long at = reactor.nowMicros() - startedAt;
-        return script.isInState(Step.Action.GONE, at) ? "removed"
-            : script.isInState(Step.Action.DRAIN, at) ? "draining" : "up";
+        long scriptMicros = reactor.nowMicros() - scriptStartMicros;
+        return script.isInState(Step.Action.GONE, scriptMicros) ? "removed"
+            : script.isInState(Step.Action.DRAIN, scriptMicros) ? "draining" : "up";
     }
 
-    /** Where it stands, as the list has it. */
     @Override
     public String zone() {
         return zone;
     }
 
-    /** As the list should have it from now on. */
-    public Endpoint inZone(String where) {
-        zone = where;
+    /** Sets the zone that the next list shows; returns this endpoint. */
+    public Endpoint inZone(String newZone) {
+        zone = newZone;
         return this;
     }
 
+    /** Returns how many calls have arrived completely. */
     public long callCount() {
-        return calls;
+        return callCount;
     }
 
-    /** Calls answered by 429. */
+    /** Returns how many calls were answered with status 429. */
     public long rejectionCount() {
-        return refusals;
+        return rejectionCount;
     }
 
+    /** Returns the number of open connections. */
     public int connectionCount() {
-        return visits.size();
+        return connections.size();
     }
 
-    private void turn() {
-        long at = reactor.nowMicros() - startedAt;
-        boolean refuses = script.isInState(Step.Action.REFUSE, at);
+    /** Opens or closes the port as the script says for the present time, and has the list published. */
+    private void applyStates() {
+        long scriptMicros = reactor.nowMicros() - scriptStartMicros;
+        boolean refuses = script.isInState(Step.Action.REFUSE, scriptMicros);
         try {
             if (refuses && port != null) {
                 port.close();
                 port = null;
-                new ArrayList<>(visits).forEach(Visit::reset);
+                new ArrayList<>(connections).forEach(RelayConnection::reset);
             } else if (!refuses && port == null) {
-                port = reactor.listen(address, RECEIVE, Visit::new);
+                port = reactor.listen(address, RECEIVE_BUFFER_BYTES, RelayConnection::new);
             }
-            if (script.isInState(Step.Action.REPLACED, at) && generation == 0) {
+            if (script.isInState(Step.Action.REPLACED, scriptMicros) && generation == 0) {
                 generation++;
                 if (port != null) {
                     port.close();
@@ -157,128 +175,135 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        changed.run();
+        stateChanged.run();
     }
 
+    /** Closes the port and all connections. */
     public void close() {
         if (port != null) {
             port.close();
         }
-        new ArrayList<>(visits).forEach(visit -> visit.wire.close());
-        visits.clear();
+        new ArrayList<>(connections).forEach(relayConnection -> relayConnection.connection.close());
+        connections.clear();
     }
 
-    /** One connection of a relay. */
-    private final class Visit implements Connection.Handler {
-        private final Connection wire;
-        private final HttpParser reader = new HttpParser();
-        private List<String> out = List.of();
+    /** One connection from a relay; carries one call at a time. */
+    private final class RelayConnection implements Connection.Handler {
+        private final Connection connection;
+        private final HttpParser parser = new HttpParser();
+        /** Messages of the call that has arrived and is not over yet. */
+        private List<String> messageIds = List.of();
+        /** What to do with the present call, null between calls. */
         private Step step;
-        private long firstByteAt;
+        /** When the first byte of the present call arrived. */
+        private long firstByteAtMicros;
 
-        Visit(Connection wire) {
-            this.wire = wire;
-            wire.setHandler(this);
-            visits.add(this);
+        RelayConnection(Connection connection) {
+            this.connection = connection;
+            connection.setHandler(this);
+            connections.add(this);
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            if (!reader.hasPartialMessage() && step == null) {
-                firstByteAt = reactor.nowMicros();
-                step = script.nextStep(firstByteAt - startedAt, chance);
+            if (!parser.hasPartialMessage() && step == null) {
+                firstByteAtMicros = reactor.nowMicros();
+                step = script.nextStep(firstByteAtMicros - scriptStartMicros, random);
                 if (step.action() == Step.Action.RESET_FIRST) {
                     reset();
                     return;
                 }
                 if (step.action() == Step.Action.RESET_MIDWAY) {
-                    wire.pauseReading();
+                    connection.pauseReading();
                     reactor.schedule(Math.max(1, step.delayMicros()), this::reset);
                     return;
                 }
             }
             try {
-                reader.append(bytes);
-                HttpMessage call = reader.nextMessage();
+                parser.append(bytes);
+                HttpMessage call = parser.nextMessage();
                 if (call != null) {
-                    call(call);
+                    handle(call);
                 }
             } catch (IllegalArgumentException | IOException unreadable) {
-                wire.write(HttpMessage.encodeResponse(400, "Connection: close"));
-                wire.shutdownOutput();
+                connection.write(HttpMessage.encodeResponse(400, "Connection: close"));
+                connection.shutdownOutput();
             }
         }
 
-        private void call(HttpMessage call) throws IOException {
-            long now = reactor.nowMicros();
-            calls++;
-            boolean bulk = call.target().equals("/inbox/bulk");
-            out = bulk ? ids(call.body()) : List.of(String.valueOf(call.header("request-id")));
-            String where = "destination " + destination;
-            for (String id : out) {
-                accounts.callArrived(id, id(), where, firstByteAt, now);
+        private void handle(HttpMessage call) throws IOException {
+            long nowMicros = reactor.nowMicros();
+            callCount++;
+            boolean isBatch = call.target().equals("/inbox/bulk");
+            messageIds = isBatch ? parseIds(call.body())
+                : List.of(String.valueOf(call.header("request-id")));
+            String waitScope = "destination " + destination;
+            for (String id : messageIds) {
+                referee.callArrived(id, id(), waitScope, firstByteAtMicros, nowMicros);
             }
-            Step mine = step;
-            if (mine.takesEffect()) {
-                out.forEach(id -> accounts.executed(id, now));
+            Step callStep = step;
+            if (callStep.takesEffect()) {
+                messageIds.forEach(id -> referee.executed(id, nowMicros));
             }
-            switch (mine.action()) {
-                case ANSWER -> reactor.schedule(mine.delayMicros(), () -> answer(mine, bulk));
-                case GARBLE -> reactor.schedule(mine.delayMicros(), () -> garble());
-                case RESET_LAST -> reactor.schedule(mine.delayMicros(), this::reset);
-                default -> wire.resumeReading();
+            switch (callStep.action()) {
+                case ANSWER -> reactor.schedule(callStep.delayMicros(), () -> answer(callStep, isBatch));
+                case GARBLE -> reactor.schedule(callStep.delayMicros(), () -> answerGarbage());
+                case RESET_LAST -> reactor.schedule(callStep.delayMicros(), this::reset);
+                default -> connection.resumeReading();
             }
         }
 
-        private void answer(Step mine, boolean bulk) {
-            if (wire.isClosed()) {
+        private void answer(Step callStep, boolean isBatch) {
+            if (connection.isClosed()) {
                 return;
             }
-            long now = reactor.nowMicros();
-            List<String> over = ended(mine.status() == 200, now);
-            refusals += mine.status() == 429 ? 1 : 0;
-            if (mine.waitMicros() > 0) {
-                accounts.waitAdvertised(over.isEmpty() ? "" : over.get(0), "destination " + destination,
-                    mine.waitMicros(), now);
-                wire.write(
-                    HttpMessage.encodeResponse(mine.status(), "Retry-After: " + mine.waitMicros() / 1e6));
-            } else if (bulk && mine.status() == 200) {
-                wire.write(HttpMessage.encode("HTTP/1.1 200 -", allDone(over)));
+            long nowMicros = reactor.nowMicros();
+            List<String> answeredIds = endCall(callStep.status() == 200, nowMicros);
+            rejectionCount += callStep.status() == 429 ? 1 : 0;
+            if (callStep.waitMicros() > 0) {
+                referee.waitAdvertised(answeredIds.isEmpty() ? "" : answeredIds.get(0),
+                    "destination " + destination, callStep.waitMicros(), nowMicros);
+                connection.write(HttpMessage.encodeResponse(callStep.status(),
+                    "Retry-After: " + callStep.waitMicros() / 1e6));
+            } else if (isBatch && callStep.status() == 200) {
+                connection.write(HttpMessage.encode("HTTP/1.1 200 -", encodeBatchAnswer(answeredIds)));
             } else {
-                wire.write(HttpMessage.encodeResponse(mine.status()));
+                connection.write(HttpMessage.encodeResponse(callStep.status()));
             }
         }
 
-        private void garble() {
-            ended(false, reactor.nowMicros());
-            byte[] noise = new byte[40];
-            chance.nextBytes(noise);
-            wire.write(noise);
+        private void answerGarbage() {
+            endCall(false, reactor.nowMicros());
+            byte[] garbage = new byte[40];
+            random.nextBytes(garbage);
+            connection.write(garbage);
         }
 
-        private List<String> ended(boolean delivered, long at) {
-            List<String> over = out;
-            out = List.of();
+        /** Reports the end of the present call, if there is one, to the referee; returns its messages. */
+        private List<String> endCall(boolean delivered, long atMicros) {
+            List<String> endedIds = messageIds;
+            messageIds = List.of();
             step = null;
-            over.forEach(id -> accounts.callEnded(id, delivered, at));
-            return over;
+            endedIds.forEach(id -> referee.callEnded(id, delivered, atMicros));
+            return endedIds;
         }
 
         private void reset() {
-            ended(false, reactor.nowMicros());
-            wire.reset();
-            visits.remove(this);
+            endCall(false, reactor.nowMicros());
+            connection.reset();
+            connections.remove(this);
         }
 
         @Override
-        public void closed(boolean broken) {
-            ended(false, reactor.nowMicros());
-            wire.close();
-            visits.remove(this);
+        public void closed(boolean abnormal) {
+            endCall(false, reactor.nowMicros());
+            connection.close();
+            connections.remove(this);
         }
     }
 
-    private static byte[] allDone(List<String> ids) {
+    /** Returns the body that answers a batch whose messages were all delivered. */
+    private static byte[] encodeBatchAnswer(List<String> ids) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartArray();
@@ -295,12 +320,13 @@
         return bytes.toByteArray();
     }
 
-    private static List<String> ids(byte[] body) throws IOException {
+    /** Returns the ids of a batch's messages. */
+    private static List<String> parseIds(byte[] body) throws IOException {
         List<String> ids = new ArrayList<>();
-        try (JsonParser at = JSON.createParser(body)) {
-            while (at.nextToken() != null) {
-                if (at.currentToken() == JsonToken.VALUE_STRING && "id".equals(at.currentName())) {
-                    ids.add(at.getText());
+        try (JsonParser parser = JSON.createParser(body)) {
+            while (parser.nextToken() != null) {
+                if (parser.currentToken() == JsonToken.VALUE_STRING && "id".equals(parser.currentName())) {
+                    ids.add(parser.getText());
                 }
             }
         }
