--- a/standins/src/main/java/yewpath/standins/peer/Endpoint.java
+++ b/standins/src/main/java/yewpath/standins/peer/Endpoint.java
@@ -323,10 +323,10 @@
     /** Returns the ids of a batch's messages. */
     private static List<String> parseIds(byte[] body) throws IOException {
         List<String> ids = new ArrayList<>();
-        try (JsonParser parser = JSON.createParser(body)) {
-            while (parser.nextToken() != null) {
-                if (parser.currentToken() == JsonToken.VALUE_STRING && "id".equals(parser.currentName())) {
-                    ids.add(parser.getText());
+        try (JsonParser json = JSON.createParser(body)) {
+            while (json.nextToken() != null) {
+                if (json.currentToken() == JsonToken.VALUE_STRING && "id".equals(json.currentName())) {
+                    ids.add(json.getText());
                 }
             }
         }
--- a/standins/src/main/java/yewpath/standins/peer/Platform.java
+++ b/standins/src/main/java/yewpath/standins/peer/Platform.java
@@ -20,76 +20,102 @@
 import yewpath.standins.io.Reactor;
 import yewpath.standins.referee.PlatformObserver;
 
-/** The platform's agent: the list with its watches, and notices of outcomes. */
+/**
+ * The platform's service: publishes the discovery list, also to relays that follow it, and receives notices of message
+ * outcomes.
+ */
 public final class Platform {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final long BEAT = 2_000_000;
+    private static final long KEEP_ALIVE_INTERVAL_MICROS = 2_000_000;
 
     private final Reactor reactor;
-    private final PlatformObserver ear;
+    private final PlatformObserver observer;
     private final List<? extends ListedEndpoint> endpoints;
-    private final Set<Connection> watches = new LinkedHashSet<>();
+    /** Connections of relays that follow the list. */
+    private final Set<Connection> followers = new LinkedHashSet<>();
     private Reactor.ServerPort port;
     private int version = 1;
-    /** What notices are answered; 0 for nothing at all. */
+    /** Status that notices are answered with; 0 for no answer. */
     private int noticeStatus = 204;
-    private long notices;
+    private long noticeCount;
 
-    /** {@code endpoints} may grow and change; {@link #publishList} says so to all watches. */
-    public Platform(Reactor reactor, PlatformObserver ear, List<? extends ListedEndpoint> endpoints) {
+    /**
+     * @param observer is told of lists and notices
+     * @param endpoints the entries of the list; may change until it is published again by {@link #publishList}
+     */
+    public Platform(Reactor reactor, PlatformObserver observer, List<? extends ListedEndpoint> endpoints) {
         this.reactor = reactor;
-        this.ear = ear;
+        this.observer = observer;
         this.endpoints = endpoints;
     }
 
-    /** Only on the reactor's thread, as all below. */
-    public void open(int at) throws IOException {
-        port = reactor.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), at), 0, Visit::new);
-        beat();
+    /**
+     * Listens on loopback. Except for {@link #openWithEndpoints}, this and the methods below are only for the reactor's
+     * thread.
+     *
+     * @param portNumber 0 for any free port
+     */
+    public void open(int portNumber) throws IOException {
+        port = reactor.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), portNumber), 0,
+            RelayConnection::new);
+        sendKeepAlives();
     }
 
-    /** Opens the endpoints and then this, at any free port, from any thread but the reactor's; where a relay finds it. */
-    public String openWithEndpoints(List<Endpoint> all) {
+    /**
+     * Opens the endpoints and then the platform, each on any free port. Must not be called on the reactor's thread.
+     *
+     * @return the platform's address as host:port, for the relay's setting {@code discovery}
+     */
+    public String openWithEndpoints(List<Endpoint> endpointsToOpen) {
         return reactor.call(() -> {
-            for (Endpoint one : all) {
-                one.open();
+            for (Endpoint endpoint : endpointsToOpen) {
+                endpoint.open();
             }
             open(0);
             return "127.0.0.1:" + address().getPort();
         });
     }
 
+    /** Returns the address that the platform listens on. */
     public InetSocketAddress address() {
         return port.address();
     }
 
+    /** Returns how many notices have been received. */
     public long noticeCount() {
-        return notices;
+        return noticeCount;
     }
 
+    /**
+     * Sets the status that notices are answered with; 0 for no answer. Notices that are not answered with 204, the
+     * initial value, are neither counted nor reported to the observer.
+     */
     public void setNoticeStatus(int status) {
         noticeStatus = status;
     }
 
+    /** Returns how many connections follow the list. */
     public int followerCount() {
-        return watches.size();
+        return followers.size();
     }
 
-    private void beat() {
-        watches.forEach(watch -> watch.write(chunk("\n")));
-        reactor.schedule(BEAT, this::beat);
+    /** Sends an empty line to each follower at a fixed interval: a relay gives up a connection that stays silent. */
+    private void sendKeepAlives() {
+        followers.forEach(follower -> follower.write(chunk("\n")));
+        reactor.schedule(KEEP_ALIVE_INTERVAL_MICROS, this::sendKeepAlives);
     }
 
-    /** The list as it stands, to all who follow it. */
+    /** Sends the present list to all followers and reports it to the observer. */
     public void publishList() {
         version++;
         byte[] line = chunk(listJson() + "\n");
-        watches.forEach(watch -> watch.write(line));
-        long now = reactor.nowMicros();
-        endpoints.forEach(one -> ear.endpointListed(one.id(), one.state().equals("up"), now));
+        followers.forEach(follower -> follower.write(line));
+        long nowMicros = reactor.nowMicros();
+        endpoints.forEach(endpoint -> observer.endpointListed(endpoint.id(), endpoint.state().equals("up"),
+            nowMicros));
     }
 
-    /** The whole list, in discovery's form. */
+    /** Returns the whole list as JSON, without removed endpoints. */
     public String listJson() {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -97,18 +123,18 @@
             out.writeNumberField("version", version);
             out.writeBooleanField("full", true);
             out.writeArrayFieldStart("servers");
-            for (ListedEndpoint one : endpoints) {
-                if (one.state().equals("removed")) {
+            for (ListedEndpoint endpoint : endpoints) {
+                if (endpoint.state().equals("removed")) {
                     continue;
                 }
                 out.writeStartObject();
-                out.writeStringField("id", one.id());
-                out.writeStringField("addr", "127.0.0.1:" + one.address().getPort());
-                out.writeStringField("zone", one.zone());
-                out.writeStringField("kind", one.kind());
-                out.writeNumberField("cell", one.destination());
-                out.writeStringField("state", one.state());
-                out.writeNumberField("weight", one.weight());
+                out.writeStringField("id", endpoint.id());
+                out.writeStringField("addr", "127.0.0.1:" + endpoint.address().getPort());
+                out.writeStringField("zone", endpoint.zone());
+                out.writeStringField("kind", endpoint.kind());
+                out.writeNumberField("cell", endpoint.destination());
+                out.writeStringField("state", endpoint.state());
+                out.writeNumberField("weight", endpoint.weight());
                 out.writeNumberField("started_ms", 0);
                 out.writeEndObject();
             }
@@ -120,78 +146,82 @@
         return text.toString();
     }
 
-    private static byte[] chunk(String line) {
-        byte[] bytes = line.getBytes(StandardCharsets.UTF_8);
-        return (Integer.toHexString(bytes.length) + "\r\n" + line + "\r\n").getBytes(StandardCharsets.UTF_8);
+    /** Encodes a text as one chunk of the chunked transfer coding. */
+    private static byte[] chunk(String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        return (Integer.toHexString(bytes.length) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
+    /** Stops listening and closes the connections of followers. */
     public void close() {
         port.close();
-        new ArrayList<>(watches).forEach(Connection::close);
-        watches.clear();
+        new ArrayList<>(followers).forEach(Connection::close);
+        followers.clear();
     }
 
-    /** One connection of a relay. */
-    private final class Visit implements Connection.Handler {
-        private final Connection wire;
-        private final HttpParser reader = new HttpParser();
+    /** One connection from a relay. */
+    private final class RelayConnection implements Connection.Handler {
+        private final Connection connection;
+        private final HttpParser parser = new HttpParser();
 
-        Visit(Connection wire) {
-            this.wire = wire;
-            wire.setHandler(this);
+        RelayConnection(Connection connection) {
+            this.connection = connection;
+            connection.setHandler(this);
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            reader.append(bytes);
-            for (HttpMessage asked = reader.nextMessage(); asked != null; asked = reader.nextMessage()) {
-                answer(asked);
+            parser.append(bytes);
+            for (HttpMessage request = parser.nextMessage(); request != null; request = parser
+                .nextMessage()) {
+                answer(request);
             }
         }
 
-        private void answer(HttpMessage asked) {
-            String target = asked.target();
+        private void answer(HttpMessage request) {
+            String target = request.target();
             if (target.equals("/v1/outcomes")) {
                 if (noticeStatus == 204) {
-                    asked.bodyText().lines().forEach(this::notice);
+                    request.bodyText().lines().forEach(this::handleNotice);
                 }
                 if (noticeStatus != 0) {
-                    wire.write(HttpMessage.encodeResponse(noticeStatus));
+                    connection.write(HttpMessage.encodeResponse(noticeStatus));
                 }
             } else if (target.startsWith("/registry/instances?follow=1")) {
-                wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     .getBytes(StandardCharsets.ISO_8859_1));
-                wire.write(chunk(listJson() + "\n"));
-                watches.add(wire);
+                connection.write(chunk(listJson() + "\n"));
+                followers.add(connection);
             } else if (target.equals("/registry/instances")) {
-                wire.write(
+                connection.write(
                     HttpMessage.encode("HTTP/1.1 200 OK", listJson().getBytes(StandardCharsets.UTF_8)));
             } else {
-                wire.write(HttpMessage.encodeResponse(404));
+                connection.write(HttpMessage.encodeResponse(404));
             }
         }
 
-        private void notice(String line) {
+        private void handleNotice(String line) {
             String id = null;
             String outcome = null;
-            long pause = 0;
-            try (JsonParser at = JSON.createParser(line)) {
-                while (at.nextToken() != null) {
-                    id = "message".equals(at.currentName()) ? at.getText() : id;
-                    outcome = "outcome".equals(at.currentName()) ? at.getText() : outcome;
-                    pause = at.currentToken().isNumeric() ? at.getLongValue() * 1_000 : pause;
+            long waitMicros = 0;
+            try (JsonParser json = JSON.createParser(line)) {
+                while (json.nextToken() != null) {
+                    id = "message".equals(json.currentName()) ? json.getText() : id;
+                    outcome = "outcome".equals(json.currentName()) ? json.getText() : outcome;
+                    // The only number of a notice is the wait in milliseconds.
+                    waitMicros = json.currentToken().isNumeric() ? json.getLongValue() * 1_000 : waitMicros;
                 }
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            notices++;
-            ear.noticeReceived(id, "handed_back".equals(outcome), pause, reactor.nowMicros());
+            noticeCount++;
+            observer.noticeReceived(id, "handed_back".equals(outcome), waitMicros, reactor.nowMicros());
         }
 
         @Override
-        public void closed(boolean broken) {
-            wire.close();
-            watches.remove(wire);
+        public void closed(boolean abnormal) {
+            connection.close();
+            followers.remove(connection);
         }
     }
 }
