--- a/standins/src/main/java/yewpath/standins/process/RelayConfig.java
+++ b/standins/src/main/java/yewpath/standins/process/RelayConfig.java
@@ -9,131 +9,168 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** A platform's configuration as a relay among stand-ins is told it. */
+/** Writes the configuration file of a relay that is used with test servers. */
 public final class RelayConfig {
-    /** What the relay is told of an offering: {@code repeat} is pure, token or side_effect. */
-    public record MessageClass(String name, String repeat, boolean ordered, int agreedMs, int expiryMs) {}
+    /**
+     * A class of messages.
+     *
+     * @param name also the path that clients submit to
+     * @param repeat delivery semantics: pure (idempotent), token (deduplicated) or side_effect (at most once)
+     * @param ordered whether messages with the same key are delivered in order
+     * @param onTimeMillis time after submission within which a delivery is on time
+     * @param giveUpMillis usual time from submission to the deadline
+     */
+    public record MessageClass(String name, String repeat, boolean ordered, int onTimeMillis,
+        int giveUpMillis) {}
 
-    /** What else is told: this relay's number of so many, and figures by the names that the settings have. */
-    public record RelaySettings(int relays, int ordinal, int slots, int hold, int tries,
-        long connectTimeoutMs,
-        long connectionIdleMs, double coldFrom,
-        long coldMs, double fallMultiple, long fallMs, long settleMs, boolean halving, int memoryMb) {
-        /** One relay of middling size. */
+    /**
+     * Settings of one relay.
+     *
+     * @param relayCount number of relays that serve the same destinations
+     * @param relayIndex number of this relay among them, from 0
+     * @param maxCalls number of calls that the relay may have in flight at once
+     * @param maxOpenMessages number of accepted messages without an outcome that the relay may have
+     * @param attemptLimit number of attempts for one message
+     * @param connectionIdleMillis time after which idle connections are closed
+     * @param coldFrom part of its capacity that an endpoint has just after its return
+     * @param coldMillis time from an endpoint's return until it has its full capacity again
+     * @param fallMultiple multiple of its capacity at which an endpoint that has just returned is overloaded and refuses
+     * @param fallMillis how long such an endpoint then refuses
+     * @param settleMillis time that the relay waits with later messages of a key after an attempt of unknown outcome
+     * @param lateWorthHalves whether the worth of a late message halves with each on-time period; otherwise it decreases
+     * linearly
+     * @param memoryMb memory limit of the relay in MB
+     */
+    public record RelaySettings(int relayCount, int relayIndex, int maxCalls, int maxOpenMessages,
+        int attemptLimit, long connectTimeoutMillis, long connectionIdleMillis, double coldFrom,
+        long coldMillis, double fallMultiple, long fallMillis, long settleMillis, boolean lateWorthHalves,
+        int memoryMb) {
+        /** A single relay of medium size. */
         public static final RelaySettings DEFAULT = new RelaySettings(1, 0, 32, 400, 8, 1_000, 10_000, 0.2,
-            3_000, 2, 1_000, 400,
-            true, 192);
+            3_000, 2, 1_000, 400, true, 192);
     }
 
     /**
-     * What a deployment's shape tells beside that: whether rates are listed, the zones with what a route apart in each
-     * takes, where this relay stands and what a crossing costs.
+     * What depends on the shape of a deployment.
+     *
+     * @param weights what the weight of an endpoint in the discovery list means, such as nominal or none
+     * @param zones names of the zones
+     * @param fees by zone, the part of a message's worth that a separate route into the zone costs; empty for none
+     * @param relayZone zone of this relay, null if it has none
+     * @param crossZonePrice the part of a message's worth that an attempt into another zone costs
      */
-    public record Topology(String weights, List<String> zones, List<Double> fees, String locality,
-        double crossing) {
+    public record Topology(String weights, List<String> zones, List<Double> fees, String relayZone,
+        double crossZonePrice) {
+        /** One zone without fees; weights are nominal capacities. */
         public static final Topology DEFAULT = new Topology("nominal", List.of("here"), List.of(), null, 0);
     }
 
     private RelayConfig() {}
 
-    public static void write(Path file, InetSocketAddress address, String platform, Path state,
-        List<MessageClass> offerings,
-        RelaySettings told) throws IOException {
-        write(file, address, platform, state, offerings, told, Topology.DEFAULT);
+    /** As {@link #write(Path, InetSocketAddress, String, Path, List, RelaySettings, Topology)} with the default topology. */
+    public static void write(Path file, InetSocketAddress address, String platform, Path stateFolder,
+        List<MessageClass> messageClasses, RelaySettings settings) throws IOException {
+        write(file, address, platform, stateFolder, messageClasses, settings, Topology.DEFAULT);
     }
 
-    /** {@code platform} is the address of discovery and notices, {@code state} the folder that lasts. */
-    public static void write(Path file, InetSocketAddress address, String platform, Path state,
-        List<MessageClass> offerings,
-        RelaySettings told, Topology shape) throws IOException {
-        try (OutputStream to = Files.newOutputStream(file);
-            JsonGenerator out = new JsonFactory().createGenerator(to).useDefaultPrettyPrinter()) {
-            out.writeStartObject();
-            out.writeStringField("name", "demo");
-            out.writeStringField("listen", "127.0.0.1:" + address.getPort());
-            out.writeStringField("discovery", platform);
-            out.writeStringField("state", state.toString());
-            out.writeStringField("seed", "1f");
-            out.writeObjectFieldStart("limits");
-            out.writeNumberField("cores", 1);
-            out.writeNumberField("memory_mb", told.memoryMb);
-            out.writeNumberField("sockets", 1024);
-            out.writeNumberField("disk_mb", 8);
-            out.writeEndObject();
-            out.writeObjectFieldStart("settings");
-            out.writeNumberField("balancers", told.relays);
-            out.writeNumberField("ordinal", told.ordinal);
-            out.writeStringField("discovery", "pushed");
-            out.writeStringField("weights", shape.weights);
-            strings(out, "zones", shape.zones.toArray(new String[0]));
-            if (shape.locality != null) {
-                out.writeStringField("locality", shape.locality);
+    /**
+     * Writes the configuration file.
+     *
+     * @param file is created or replaced
+     * @param address the relay's address; only the port counts, the host is always 127.0.0.1
+     * @param platform host:port of the platform, which serves discovery and receives notices
+     * @param stateFolder where the relay keeps data that outlast a restart
+     */
+    public static void write(Path file, InetSocketAddress address, String platform, Path stateFolder,
+        List<MessageClass> messageClasses, RelaySettings settings, Topology topology) throws IOException {
+        try (OutputStream output = Files.newOutputStream(file);
+            JsonGenerator json = new JsonFactory().createGenerator(output).useDefaultPrettyPrinter()) {
+            json.writeStartObject();
+            json.writeStringField("name", "demo");
+            json.writeStringField("listen", "127.0.0.1:" + address.getPort());
+            json.writeStringField("discovery", platform);
+            json.writeStringField("state", stateFolder.toString());
+            json.writeStringField("seed", "1f");
+            json.writeObjectFieldStart("limits");
+            json.writeNumberField("cores", 1);
+            json.writeNumberField("memory_mb", settings.memoryMb);
+            json.writeNumberField("sockets", 1024);
+            json.writeNumberField("disk_mb", 8);
+            json.writeEndObject();
+            json.writeObjectFieldStart("settings");
+            json.writeNumberField("balancers", settings.relayCount);
+            json.writeNumberField("ordinal", settings.relayIndex);
+            json.writeStringField("discovery", "pushed");
+            json.writeStringField("weights", topology.weights);
+            writeStrings(json, "zones", topology.zones.toArray(new String[0]));
+            if (topology.relayZone != null) {
+                json.writeStringField("locality", topology.relayZone);
             }
-            out.writeObjectFieldStart("prices");
-            out.writeNumberField("cross_zone", shape.crossing);
-            out.writeEndObject();
-            strings(out, "kinds", "plain", "bundled");
-            out.writeObjectFieldStart("family_info");
-            out.writeNumberField("max_calls", told.slots);
-            out.writeArrayFieldStart("bundle_max");
-            out.writeNumber(1);
-            out.writeNumber(20);
-            out.writeEndArray();
-            out.writeArrayFieldStart("carriage");
-            for (double fee : shape.fees) {
-                out.writeNumber(fee);
+            json.writeObjectFieldStart("prices");
+            json.writeNumberField("cross_zone", topology.crossZonePrice);
+            json.writeEndObject();
+            writeStrings(json, "kinds", "plain", "bundled");
+            json.writeObjectFieldStart("family_info");
+            json.writeNumberField("max_calls", settings.maxCalls);
+            json.writeArrayFieldStart("bundle_max");
+            json.writeNumber(1);
+            json.writeNumber(20);
+            json.writeEndArray();
+            json.writeArrayFieldStart("carriage");
+            for (double fee : topology.fees) {
+                json.writeNumber(fee);
             }
-            out.writeEndArray();
-            out.writeStringField("late", told.halving ? "by_half" : "evenly");
-            out.writeEndObject();
-            out.writeObjectFieldStart("limits");
-            out.writeNumberField("max_open", told.hold);
-            out.writeNumberField("try_limit", told.tries);
-            out.writeBooleanField("cancel", true);
-            out.writeBooleanField("retry_after", true);
-            out.writeNumberField("max_retry_after_ms", 3000);
-            out.writeNumberField("connect_timeout_ms", told.connectTimeoutMs);
-            out.writeNumberField("conn_idle_ms", told.connectionIdleMs);
-            out.writeEndObject();
-            out.writeObjectFieldStart("rules");
-            out.writeNumberField("cold_from", told.coldFrom);
-            out.writeNumberField("cold_ms", told.coldMs);
-            out.writeNumberField("fall_multiple", told.fallMultiple);
-            out.writeNumberField("fall_ms", told.fallMs);
-            out.writeNumberField("settle_after_doubt_ms", told.settleMs);
-            out.writeEndObject();
-            out.writeArrayFieldStart("request_classes");
-            for (MessageClass one : offerings) {
-                out.writeStartObject();
-                out.writeStringField("name", one.name);
-                out.writeStringField("repeat", one.repeat);
-                out.writeStringField("group", "all");
-                out.writeNumberField("dedup_window_ms", 10000);
-                out.writeBooleanField("fifo_by_key", one.ordered);
-                out.writeNumberField("worth", 1);
-                out.writeNumberField("late_worth", 0.3);
-                out.writeNumberField("on_time_ms", one.agreedMs);
-                out.writeNumberField("give_up_ms", one.expiryMs);
-                out.writeEndObject();
+            json.writeEndArray();
+            json.writeStringField("late", settings.lateWorthHalves ? "by_half" : "evenly");
+            json.writeEndObject();
+            json.writeObjectFieldStart("limits");
+            json.writeNumberField("max_open", settings.maxOpenMessages);
+            json.writeNumberField("try_limit", settings.attemptLimit);
+            json.writeBooleanField("cancel", true);
+            json.writeBooleanField("retry_after", true);
+            json.writeNumberField("max_retry_after_ms", 3000);
+            json.writeNumberField("connect_timeout_ms", settings.connectTimeoutMillis);
+            json.writeNumberField("conn_idle_ms", settings.connectionIdleMillis);
+            json.writeEndObject();
+            json.writeObjectFieldStart("rules");
+            json.writeNumberField("cold_from", settings.coldFrom);
+            json.writeNumberField("cold_ms", settings.coldMillis);
+            json.writeNumberField("fall_multiple", settings.fallMultiple);
+            json.writeNumberField("fall_ms", settings.fallMillis);
+            json.writeNumberField("settle_after_doubt_ms", settings.settleMillis);
+            json.writeEndObject();
+            json.writeArrayFieldStart("request_classes");
+            for (MessageClass messageClass : messageClasses) {
+                json.writeStartObject();
+                json.writeStringField("name", messageClass.name);
+                json.writeStringField("repeat", messageClass.repeat);
+                json.writeStringField("group", "all");
+                json.writeNumberField("dedup_window_ms", 10000);
+                json.writeBooleanField("fifo_by_key", messageClass.ordered);
+                json.writeNumberField("worth", 1);
+                json.writeNumberField("late_worth", 0.3);
+                json.writeNumberField("on_time_ms", messageClass.onTimeMillis);
+                json.writeNumberField("give_up_ms", messageClass.giveUpMillis);
+                json.writeEndObject();
             }
-            out.writeEndArray();
-            out.writeArrayFieldStart("tenants");
-            out.writeStartObject();
-            out.writeStringField("name", "demo");
-            out.writeNumberField("quota_per_s", 1000);
-            out.writeNumberField("portion", 1);
-            out.writeEndObject();
-            out.writeEndArray();
-            out.writeEndObject();
-            out.writeEndObject();
+            json.writeEndArray();
+            json.writeArrayFieldStart("tenants");
+            json.writeStartObject();
+            json.writeStringField("name", "demo");
+            json.writeNumberField("quota_per_s", 1000);
+            json.writeNumberField("portion", 1);
+            json.writeEndObject();
+            json.writeEndArray();
+            json.writeEndObject();
+            json.writeEndObject();
         }
     }
 
-    private static void strings(JsonGenerator out, String name, String... values) throws IOException {
-        out.writeArrayFieldStart(name);
+    private static void writeStrings(JsonGenerator json, String name, String... values) throws IOException {
+        json.writeArrayFieldStart(name);
         for (String value : values) {
-            out.writeString(value);
+            json.writeString(value);
         }
-        out.writeEndArray();
+        json.writeEndArray();
     }
 }
--- a/standins/src/main/java/yewpath/standins/process/RelayProcess.java
+++ b/standins/src/main/java/yewpath/standins/process/RelayProcess.java
@@ -16,47 +16,63 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A relay as an operator starts it, with a folder of its own that goes when it is over. */
+/**
+ * A relay in a process of its own. Its configuration, state and log are in a temporary folder, which {@link #close}
+ * deletes.
+ */
 public final class RelayProcess implements AutoCloseable {
+    /** The address that the relay listens on. */
     public final InetSocketAddress address;
     private final Path folder;
     private final ProcessBuilder builder;
     private Process process;
 
-    /** {@code port} 0 takes any free one. Returns once the relay is ready. */
+    /** Starts a relay with the default topology; see the other constructor. */
     public RelayProcess(List<String> command, String platform, int port,
-        List<RelayConfig.MessageClass> offerings,
-        RelayConfig.RelaySettings told,
-        List<String> more)
+        List<RelayConfig.MessageClass> messageClasses, RelayConfig.RelaySettings settings,
+        List<String> moreArguments)
         throws IOException, InterruptedException {
-        this(command, platform, port, offerings, told, RelayConfig.Topology.DEFAULT, more);
+        this(command, platform, port, messageClasses, settings, RelayConfig.Topology.DEFAULT, moreArguments);
     }
 
+    /**
+     * Starts a relay and returns once it is ready.
+     *
+     * @param command starts the relay; the arguments {@code serve --config FILE} are added
+     * @param platform host:port of the platform
+     * @param port 0 for any free port
+     * @param moreArguments follow the other arguments
+     * @throws IOException if the relay ends, or is not ready within 10 s; the message has the relay's log if it ended
+     */
     public RelayProcess(List<String> command, String platform, int port,
-        List<RelayConfig.MessageClass> offerings,
-        RelayConfig.RelaySettings told,
-        RelayConfig.Topology shape, List<String> more)
+        List<RelayConfig.MessageClass> messageClasses, RelayConfig.RelaySettings settings,
+        RelayConfig.Topology topology, List<String> moreArguments)
         throws IOException, InterruptedException {
         folder = Files.createTempDirectory("yewpath-demo");
-        int taken = port;
+        int relayPort = port;
         if (port == 0) {
-            try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-                taken = free.getLocalPort();
+            try (ServerSocket freePort = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+                relayPort = freePort.getLocalPort();
             }
         }
-        address = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), taken);
+        address = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), relayPort);
         Path config = folder.resolve("config.json");
-        RelayConfig.write(config, address, platform, folder.resolve("state"), offerings, told, shape);
-        List<String> all = new ArrayList<>(command);
-        all.addAll(List.of("serve", "--config", config.toString()));
-        all.addAll(more);
-        builder = new ProcessBuilder(all).redirectErrorStream(true)
+        RelayConfig.write(config, address, platform, folder.resolve("state"), messageClasses, settings,
+            topology);
+        List<String> commandLine = new ArrayList<>(command);
+        commandLine.addAll(List.of("serve", "--config", config.toString()));
+        commandLine.addAll(moreArguments);
+        builder = new ProcessBuilder(commandLine).redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile()));
         builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
         start();
     }
 
-    /** Under the same name and address, with what its folder holds; returns once it is ready. */
+    /**
+     * Starts the relay again with the same configuration, address and state; returns once it is ready.
+     *
+     * @throws IOException as for the constructor; the folder is deleted then
+     */
     public void start() throws IOException, InterruptedException {
         process = builder.start();
         try {
@@ -68,54 +84,63 @@
     }
 
     private void awaitReady() throws IOException, InterruptedException {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10); System.nanoTime() < end; Thread
-            .sleep(20)) {
+        for (long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10); System
+            .nanoTime() < deadlineNanos; Thread.sleep(20)) {
             if (!process.isAlive()) {
                 throw new IOException(
-                    "the relay ended at its start: " + Files.readString(logFile().toPath()).strip());
+                    "the relay process ended while it started: "
+                        + Files.readString(logFile().toPath()).strip());
             }
             try {
                 get("/health/ready");
                 return;
-            } catch (IOException notYet) {
+            } catch (IOException notReadyYet) {
                 continue;
             }
         }
         throw new IOException("the relay was not ready within 10 s");
     }
 
-    /** The body of a GET that is answered by 200. */
+    /**
+     * Sends a GET request to the relay and returns the body of the answer.
+     *
+     * @throws IOException also if the answer has an error status or takes more than 0.5 s
+     */
     public String get(String path) throws IOException {
-        HttpURLConnection asked = (HttpURLConnection) new URL("http://127.0.0.1:" + address.getPort() + path)
+        HttpURLConnection connection = (HttpURLConnection) new URL(
+            "http://127.0.0.1:" + address.getPort() + path)
             .openConnection();
-        asked.setConnectTimeout(500);
-        asked.setReadTimeout(500);
-        try (InputStream body = asked.getInputStream()) {
+        connection.setConnectTimeout(500);
+        connection.setReadTimeout(500);
+        try (InputStream body = connection.getInputStream()) {
             return new String(body.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
         } finally {
-            asked.disconnect();
+            connection.disconnect();
         }
     }
 
+    /** Returns the process id of the relay. */
     public long pid() {
         return process.pid();
     }
 
+    /** Returns the file with the relay's output, of all its starts. */
     public File logFile() {
         return folder.resolve("log").toFile();
     }
 
-    /** SIGKILL: its folder stays. */
+    /** Ends the relay by SIGKILL and keeps its folder. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** SIGTERM; returns the exit code, -1 where it had to be killed. */
+    /** Asks the relay to end by SIGTERM; returns its exit code, -1 if it is still running after 4 s. */
     public int terminate() throws InterruptedException {
         process.destroy();
         return process.waitFor(4, TimeUnit.SECONDS) ? process.exitValue() : -1;
     }
 
+    /** Ends the relay by SIGKILL and deletes its folder. */
     @Override
     public void close() throws IOException {
         process.destroyForcibly();
--- a/standins/src/main/java/yewpath/standins/process/package-info.java
+++ b/standins/src/main/java/yewpath/standins/process/package-info.java
@@ -1,2 +1,2 @@
-/** A relay in a process of its own, started as an operator would. */
+/** Writes a relay's configuration and runs the relay in a process of its own, in the way that an operator starts it. */
 package yewpath.standins.process;
