--- a/standins/src/main/java/yewpath/standins/demo/package-info.java
+++ b/standins/src/main/java/yewpath/standins/demo/package-info.java
@@ -1,2 +1,5 @@
-/** The program {@code yewpath demo}: a relay in a process of its own among stand-ins, and what became of each envelope. */
+/**
+ * The program {@code yewpath demo}: runs a relay in a process of its own among test servers, submits messages
+ * and prints the outcomes.
+ */
 package yewpath.standins.demo;
--- a/standins/src/main/java/yewpath/standins/io/Connection.java
+++ b/standins/src/main/java/yewpath/standins/io/Connection.java
@@ -10,8 +10,8 @@
 import java.util.ArrayDeque;
 
 /**
- * One non-blocking TCP connection of a test server or test client. It can also be ended abruptly, which a well-behaved
- * program avoids. All methods are for the reactor's thread only.
+ * One non-blocking TCP connection of a test server or test client. It can also be ended abruptly, which a
+ * well-behaved program avoids. All methods are for the reactor's thread only.
  */
 public final class Connection {
     /** Receives the events of a connection, on the reactor's thread. No event follows {@link #closed}. */
@@ -25,7 +25,8 @@
         /**
          * The connection has ended from the other side or by an error.
          *
-         * @param abnormal true for a reset or a failed connect, false if the other side closed in the regular way
+         * @param abnormal true for a reset or a failed connect, false if the other side closed in the regular
+         * way
          */
         void closed(boolean abnormal);
     }
@@ -111,8 +112,8 @@
     }
 
     /**
-     * Sends bytes in the order of the calls. What the socket does not accept at once, or before the connection is
-     * established, is sent later. Does nothing on a closed connection.
+     * Sends bytes in the order of the calls. What the socket does not accept at once, or before the
+     * connection is established, is sent later. Does nothing on a closed connection.
      */
     public void write(byte[] bytes) {
         if (closed) {
@@ -144,8 +145,8 @@
     }
 
     /**
-     * Stops reading until {@link #resumeReading}. The bytes that the other side sends fill the socket buffers, and then
-     * its writes block.
+     * Stops reading until {@link #resumeReading}. The bytes that the other side sends fill the socket
+     * buffers, and then its writes block.
      */
     public void pauseReading() {
         if (!closed) {
--- a/standins/src/main/java/yewpath/standins/io/HttpParser.java
+++ b/standins/src/main/java/yewpath/standins/io/HttpParser.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Parses HTTP/1.1 messages (RFC 9112) out of the bytes of one connection. It supports what the relay's protocol uses:
- * the length of a body is given by Content-Length, and transfer codings are not allowed. Anything else throws
- * IllegalArgumentException: a test server does not guess what the relay may have meant.
+ * Parses HTTP/1.1 messages (RFC 9112) out of the bytes of one connection. It supports what the relay's
+ * protocol uses: the length of a body is given by Content-Length, and transfer codings are not allowed.
+ * Anything else throws IllegalArgumentException: a test server does not guess what the relay may have meant.
  */
 public final class HttpParser {
     private static final int MAX_HEAD_BYTES = 64 << 10;
--- a/standins/src/main/java/yewpath/standins/io/Reactor.java
+++ b/standins/src/main/java/yewpath/standins/io/Reactor.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 
 /**
- * An event loop: one thread on which all test servers and test clients of a process run. Tasks and handlers must not
- * block. Only loopback addresses are allowed.
+ * An event loop: one thread on which all test servers and test clients of a process run. Tasks and handlers
+ * must not block. Only loopback addresses are allowed.
  */
 public final class Reactor implements AutoCloseable {
     /** A task that is scheduled for a time and can be cancelled until then. */
@@ -108,7 +108,8 @@
     }
 
     /**
-     * Runs a task on the reactor's thread and waits for its result. Must not be called on the reactor's own thread.
+     * Runs a task on the reactor's thread and waits for its result. Must not be called on the reactor's own
+     * thread.
      *
      * @throws IllegalStateException with what the task threw as its cause, or if the wait is interrupted
      */
@@ -145,7 +146,8 @@
      * Listens on a loopback address.
      *
      * @param address port 0 stands for any free port
-     * @param receiveBufferBytes 0 for the system's default; with a small buffer the sender's writes block early
+     * @param receiveBufferBytes 0 for the system's default; with a small buffer the sender's writes block
+     * early
      * @param acceptHandler is called with each accepted connection and must set its handler
      * @throws IllegalArgumentException if the address is not on loopback
      */
@@ -174,8 +176,8 @@
     }
 
     /**
-     * Starts to connect to a loopback address. The connection can be written to at once; a failed connect is reported
-     * to {@code handler} as an abnormal close.
+     * Starts to connect to a loopback address. The connection can be written to at once; a failed connect is
+     * reported to {@code handler} as an abnormal close.
      *
      * @throws IllegalArgumentException if the address is not on loopback
      */
--- a/standins/src/main/java/yewpath/standins/peer/Client.java
+++ b/standins/src/main/java/yewpath/standins/peer/Client.java
@@ -10,8 +10,8 @@
 import yewpath.standins.referee.DeliveryReferee;
 
 /**
- * The clients of one relay. Submits each message on an idle connection, or on a new one if none is idle, and waits
- * 400 ms for the answer, as the protocol specifies. A connection carries one request at a time.
+ * The clients of one relay. Submits each message on an idle connection, or on a new one if none is idle, and
+ * waits 400 ms for the answer, as the protocol specifies. A connection carries one request at a time.
  */
 public final class Client {
     private static final long ANSWER_TIMEOUT_MICROS = 400_000;
@@ -30,7 +30,8 @@
     }
 
     /**
-     * Submits a message and reports its course to the referee. Like the methods below only for the reactor's thread.
+     * Submits a message and reports its course to the referee. Like the methods below only for the reactor's
+     * thread.
      *
      * @param key value of the Affinity-Key header, null for none
      * @param timeoutMicros time until the message's deadline
@@ -120,8 +121,8 @@
             if (id != null) {
                 answerTimeout.cancel();
                 if (reused) {
-                    // The relay closed the idle connection while the request was on its way. The protocol asks the
-                    // client to send the request once more on a new connection.
+                    // The relay closed the idle connection while the request was on its way. The protocol
+                    // asks the client to send the request once more on a new connection.
                     new RelayConnection().send(id, request, false);
                 } else {
                     unansweredCount++;
--- a/standins/src/main/java/yewpath/standins/peer/Endpoint.java
+++ b/standins/src/main/java/yewpath/standins/peer/Endpoint.java
@@ -24,8 +24,8 @@
 import yewpath.standins.script.Step;
 
 /**
- * A test endpoint. Answers calls, which carry one message or a batch, as its script says, and reports them to the
- * referee.
+ * A test endpoint. Answers calls, which carry one message or a batch, as its script says, and reports them to
+ * the referee.
  */
 public final class Endpoint implements ListedEndpoint {
     private static final JsonFactory JSON = new JsonFactory();
--- a/standins/src/main/java/yewpath/standins/peer/ListedEndpoint.java
+++ b/standins/src/main/java/yewpath/standins/peer/ListedEndpoint.java
@@ -9,10 +9,15 @@
     /** Number of the destination that the endpoint belongs to. */
     int destination();
 
-    /** Name of a kind from the relay's settings: "plain" for one message in each call, "bundled" for batches. */
+    /**
+     * Name of a kind from the relay's settings: "plain" for one message in each call, "bundled" for batches.
+     */
     String kind();
 
-    /** The nominal capacity in calls a second. Relays ignore it unless their setting {@code weights} says otherwise. */
+    /**
+     * The nominal capacity in calls a second. Relays ignore it unless their setting {@code weights} says
+     * otherwise.
+     */
     double weight();
 
     /** Name of the zone that the endpoint is in. */
--- a/standins/src/main/java/yewpath/standins/peer/Platform.java
+++ b/standins/src/main/java/yewpath/standins/peer/Platform.java
@@ -21,8 +21,8 @@
 import yewpath.standins.referee.PlatformObserver;
 
 /**
- * The platform's service: publishes the discovery list, also to relays that follow it, and receives notices of message
- * outcomes.
+ * The platform's service: publishes the discovery list, also to relays that follow it, and receives notices
+ * of message outcomes.
  */
 public final class Platform {
     private static final JsonFactory JSON = new JsonFactory();
@@ -41,7 +41,8 @@
 
     /**
      * @param observer is told of lists and notices
-     * @param endpoints the entries of the list; may change until it is published again by {@link #publishList}
+     * @param endpoints the entries of the list; may change until it is published again by {@link
+     * #publishList}
      */
     public Platform(Reactor reactor, PlatformObserver observer, List<? extends ListedEndpoint> endpoints) {
         this.reactor = reactor;
@@ -50,8 +51,8 @@
     }
 
     /**
-     * Listens on loopback. Except for {@link #openWithEndpoints}, this and the methods below are only for the reactor's
-     * thread.
+     * Listens on loopback. Except for {@link #openWithEndpoints}, this and the methods below are only for the
+     * reactor's thread.
      *
      * @param portNumber 0 for any free port
      */
@@ -62,7 +63,8 @@
     }
 
     /**
-     * Opens the endpoints and then the platform, each on any free port. Must not be called on the reactor's thread.
+     * Opens the endpoints and then the platform, each on any free port. Must not be called on the reactor's
+     * thread.
      *
      * @return the platform's address as host:port, for the relay's setting {@code discovery}
      */
@@ -87,8 +89,8 @@
     }
 
     /**
-     * Sets the status that notices are answered with; 0 for no answer. Notices that are not answered with 204, the
-     * initial value, are neither counted nor reported to the observer.
+     * Sets the status that notices are answered with; 0 for no answer. Notices that are not answered with
+     * 204, the initial value, are neither counted nor reported to the observer.
      */
     public void setNoticeStatus(int status) {
         noticeStatus = status;
@@ -99,7 +101,10 @@
         return followers.size();
     }
 
-    /** Sends an empty line to each follower at a fixed interval: a relay gives up a connection that stays silent. */
+    /**
+     * Sends an empty line to each follower at a fixed interval: a relay gives up a connection that stays
+     * silent.
+     */
     private void sendKeepAlives() {
         followers.forEach(follower -> follower.write(chunk("\n")));
         reactor.schedule(KEEP_ALIVE_INTERVAL_MICROS, this::sendKeepAlives);
--- a/standins/src/main/java/yewpath/standins/process/RelayConfig.java
+++ b/standins/src/main/java/yewpath/standins/process/RelayConfig.java
@@ -34,11 +34,13 @@
      * @param connectionIdleMillis time after which idle connections are closed
      * @param coldFrom part of its capacity that an endpoint has just after its return
      * @param coldMillis time from an endpoint's return until it has its full capacity again
-     * @param fallMultiple multiple of its capacity at which an endpoint that has just returned is overloaded and refuses
+     * @param fallMultiple multiple of its capacity at which an endpoint that has just returned is overloaded
+     * and refuses
      * @param fallMillis how long such an endpoint then refuses
-     * @param settleMillis time that the relay waits with later messages of a key after an attempt of unknown outcome
-     * @param lateWorthHalves whether the worth of a late message halves with each on-time period; otherwise it decreases
-     * linearly
+     * @param settleMillis time that the relay waits with later messages of a key after an attempt of unknown
+     * outcome
+     * @param lateWorthHalves whether the worth of a late message halves with each on-time period; otherwise
+     * it decreases linearly
      * @param memoryMb memory limit of the relay in MB
      */
     public record RelaySettings(int relayCount, int relayIndex, int maxCalls, int maxOpenMessages,
@@ -55,7 +57,8 @@
      *
      * @param weights what the weight of an endpoint in the discovery list means, such as nominal or none
      * @param zones names of the zones
-     * @param fees by zone, the part of a message's worth that a separate route into the zone costs; empty for none
+     * @param fees by zone, the part of a message's worth that a separate route into the zone costs; empty for
+     * none
      * @param relayZone zone of this relay, null if it has none
      * @param crossZonePrice the part of a message's worth that an attempt into another zone costs
      */
@@ -67,7 +70,10 @@
 
     private RelayConfig() {}
 
-    /** As {@link #write(Path, InetSocketAddress, String, Path, List, RelaySettings, Topology)} with the default topology. */
+    /**
+     * As {@link #write(Path, InetSocketAddress, String, Path, List, RelaySettings, Topology)} with the
+     * default topology.
+     */
     public static void write(Path file, InetSocketAddress address, String platform, Path stateFolder,
         List<MessageClass> messageClasses, RelaySettings settings) throws IOException {
         write(file, address, platform, stateFolder, messageClasses, settings, Topology.DEFAULT);
--- a/standins/src/main/java/yewpath/standins/process/RelayProcess.java
+++ b/standins/src/main/java/yewpath/standins/process/RelayProcess.java
@@ -17,8 +17,8 @@
 import java.util.stream.Stream;
 
 /**
- * A relay in a process of its own. Its configuration, state and log are in a temporary folder, which {@link #close}
- * deletes.
+ * A relay in a process of its own. Its configuration, state and log are in a temporary folder, which {@link
+ * #close} deletes.
  */
 public final class RelayProcess implements AutoCloseable {
     /** The address that the relay listens on. */
@@ -42,7 +42,8 @@
      * @param platform host:port of the platform
      * @param port 0 for any free port
      * @param moreArguments follow the other arguments
-     * @throws IOException if the relay ends, or is not ready within 10 s; the message has the relay's log if it ended
+     * @throws IOException if the relay ends, or is not ready within 10 s; the message has the relay's log if
+     * it ended
      */
     public RelayProcess(List<String> command, String platform, int port,
         List<RelayConfig.MessageClass> messageClasses, RelayConfig.RelaySettings settings,
--- a/standins/src/main/java/yewpath/standins/referee/DeliveryReferee.java
+++ b/standins/src/main/java/yewpath/standins/referee/DeliveryReferee.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Records the course of each message of a run, as clients, endpoints and platform saw it, and checks the delivery rules.
- * Each violation is a sentence that ends with the message's history.
+ * Records the course of each message of a run, as clients, endpoints and platform saw it, and checks the
+ * delivery rules. Each violation is a sentence that ends with the message's history.
  *
  * <p>All times are microseconds on one clock. Does no I/O and reads no clock; not thread-safe.
  */
@@ -40,7 +40,10 @@
     public static final class MessageRecord {
         public final String id;
         public final String messageClass;
-        /** The relay that the message was submitted to. A wait that one relay was asked for does not bind others. */
+        /**
+         * The relay that the message was submitted to. A wait that one relay was asked for does not bind
+         * others.
+         */
         public final String relay;
         public final DeliverySemantics semantics;
         public final long submittedAtMicros;
@@ -73,7 +76,8 @@
         }
 
         private void addToHistory(long atMicros, String event) {
-            // 64 entries suffice to understand a violation; a message that is retried endlessly must not fill the heap.
+            // 64 entries suffice to understand a violation; a message that is retried endlessly must not fill
+            // the heap.
             if (history.size() < 64) {
                 history.add((atMicros - submittedAtMicros) / 1000 + " ms " + event);
             }
@@ -101,8 +105,8 @@
     private final List<String> violations = new ArrayList<>();
 
     /**
-     * @param deduplicationWindowMicros how long after the first execution an endpoint recognizes a repeated message of
-     * semantics DEDUPLICATED
+     * @param deduplicationWindowMicros how long after the first execution an endpoint recognizes a repeated
+     * message of semantics DEDUPLICATED
      * @param slackMicros is added to each time limit
      */
     public DeliveryReferee(long deduplicationWindowMicros, long slackMicros) {
@@ -123,7 +127,9 @@
             new MessageRecord(id, messageClass, relay, semantics, atMicros, atMicros + timeoutMicros));
     }
 
-    /** The relay has answered the client's request with {@code status}; 0 if the client received no answer. */
+    /**
+     * The relay has answered the client's request with {@code status}; 0 if the client received no answer.
+     */
     public void clientAnswered(String id, int status, long atMicros) {
         MessageRecord message = records.get(id);
         if (message == null) {
@@ -210,9 +216,9 @@
     }
 
     /**
-     * Reports two calls of a message that overlapped for longer than {@link #MAX_OVERLAP_MICROS}. A shorter overlap is
-     * no violation: the relay may end one call just before it starts the next on another connection, and the order in
-     * which the test servers see the two events is random.
+     * Reports two calls of a message that overlapped for longer than {@link #MAX_OVERLAP_MICROS}. A shorter
+     * overlap is no violation: the relay may end one call just before it starts the next on another
+     * connection, and the order in which the test servers see the two events is random.
      */
     private void checkConcurrency(MessageRecord message, long atMicros) {
         if (atMicros - message.concurrentSinceMicros > MAX_OVERLAP_MICROS) {
@@ -283,8 +289,8 @@
     }
 
     /**
-     * Ends the run: reports accepted messages that have no outcome well after their deadline as lost, and concurrent
-     * calls that are still in flight.
+     * Ends the run: reports accepted messages that have no outcome well after their deadline as lost, and
+     * concurrent calls that are still in flight.
      */
     public void checkLost(long atMicros) {
         for (MessageRecord message : records.values()) {
--- a/standins/src/main/java/yewpath/standins/script/Script.java
+++ b/standins/src/main/java/yewpath/standins/script/Script.java
@@ -8,8 +8,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The behaviour of one test endpoint over time, one rule a line. {@code #} starts a comment; times have a unit (us, ms
- * or s) and count from the start of the script:
+ * The behaviour of one test endpoint over time, one rule a line. {@code #} starts a comment; times have a
+ * unit (us, ms or s) and count from the start of the script:
  * <pre>
  * FROM [- TO]: ACT [share PART | every N | over N]
  *
@@ -22,8 +22,8 @@
  * 4 s - 6 s: refuse                        # no connections
  * 6 s: drain | gone | replaced
  * </pre>
- * If several lines are in force and apply to a call, the last of them decides. A call to which none applies is answered
- * at once with status 200. Not thread-safe, since lines count the calls.
+ * If several lines are in force and apply to a call, the last of them decides. A call to which none applies
+ * is answered at once with status 200. Not thread-safe, since lines count the calls.
  */
 public final class Script {
     private static final Map<String, Long> UNIT_MICROS = Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L);
@@ -47,7 +47,10 @@
     private final List<Line> lines;
     /** Calls that met the line's other conditions, by line; {@link Line#every} selects among them. */
     private final long[] matchedCalls;
-    /** The second in which a line with {@link Line#over} last had a call, and its calls in that second, by line. */
+    /**
+     * The second in which a line with {@link Line#over} last had a call, and its calls in that second, by
+     * line.
+     */
     private final long[] lastSecond, callsInLastSecond;
 
     private Script(List<Line> lines) {
@@ -88,8 +91,8 @@
             if (line.action.isState() || !line.isInForce(atMicros)) {
                 continue;
             }
-            // Two numbers are drawn for each line, whether it applies or not. Otherwise whether one line applies would
-            // shift the random numbers of the lines after it.
+            // Two numbers are drawn for each line, whether it applies or not. Otherwise whether one line
+            // applies would shift the random numbers of the lines after it.
             boolean inShare = random.nextDouble() < line.share;
             long delayMicros = line.minDelayMicros
                 + (long) (random.nextDouble() * (line.maxDelayMicros - line.minDelayMicros));
@@ -110,7 +113,9 @@
         return lines.stream().anyMatch(line -> line.action == state && line.isInForce(atMicros));
     }
 
-    /** Returns the times in microseconds, in ascending order, at which a state of the endpoint begins or ends. */
+    /**
+     * Returns the times in microseconds, in ascending order, at which a state of the endpoint begins or ends.
+     */
     public List<Long> stateChangeTimes() {
         TreeSet<Long> times = new TreeSet<>();
         for (Line line : lines) {
--- a/standins/src/main/java/yewpath/standins/script/Step.java
+++ b/standins/src/main/java/yewpath/standins/script/Step.java
@@ -10,19 +10,22 @@
  */
 public record Step(Action action, int status, long delayMicros, long waitMicros) {
     /**
-     * The actions of a script. Up to GARBLE they are reactions to a call; from REFUSE on they are states of the endpoint.
-     * The names of the constants are words of the script, with an underscore in place of a space.
+     * The actions of a script. Up to GARBLE they are reactions to a call; from REFUSE on they are states of
+     * the endpoint. The names of the constants are words of the script, with an underscore in place of a
+     * space.
      */
     public enum Action {
-        /** Answers with a status. Statuses 2xx, and 5xx except 503 and 504, mean that the call is executed. */
+        /**
+         * Answers with a status. Statuses 2xx, and 5xx except 503 and 504, mean that the call is executed.
+         */
         ANSWER,
         /** Executes the call and never answers. */
         SILENT,
         /** Resets the connection at the first byte of the call, without executing it. */
         RESET_FIRST,
         /**
-         * Stops reading at the first byte of the call and resets the connection after the delay, without executing the
-         * call. A large call never arrives completely.
+         * Stops reading at the first byte of the call and resets the connection after the delay, without
+         * executing the call. A large call never arrives completely.
          */
         RESET_MIDWAY,
         /** Executes the call and resets the connection instead of answering. */
--- a/standins/src/test/java/yewpath/standins/DeliveryRefereeTest.java
+++ b/standins/src/test/java/yewpath/standins/DeliveryRefereeTest.java
@@ -9,7 +9,10 @@
 import yewpath.standins.referee.DeliveryReferee.DeliverySemantics;
 import yewpath.standins.referee.DeliveryReferee.DeliveryState;
 
-/** Checks message courses that violate each delivery rule, and similar ones just inside the limits that do not. */
+/**
+ * Checks message courses that violate each delivery rule, and similar ones just inside the limits that do
+ * not.
+ */
 public final class DeliveryRefereeTest {
     private static final long MS = 1_000;
     private DeliveryReferee referee;
--- a/standins/src/test/java/yewpath/standins/PeersTest.java
+++ b/standins/src/test/java/yewpath/standins/PeersTest.java
@@ -29,7 +29,7 @@
 import yewpath.standins.peer.Platform;
 import yewpath.standins.referee.DeliveryReferee;
 
-/** Peers as a plain socket meets them. */
+/** Checks the test servers through plain sockets. */
 public final class PeersTest {
     private final List<Throwable> failures = new CopyOnWriteArrayList<>();
     private Reactor reactor;
@@ -46,22 +46,22 @@
         assertEquals(failures, List.of());
     }
 
-    private Endpoint endpoint(String script) {
-        Endpoint one = new Endpoint(reactor, new DeliveryReferee(0, 0), "e", 1, "plain", 5, script,
+    private Endpoint startEndpoint(String script) {
+        Endpoint endpoint = new Endpoint(reactor, new DeliveryReferee(0, 0), "e", 1, "plain", 5, script,
             new SplittableRandom(1), () -> {});
         reactor.call(() -> {
-            one.open();
-            one.startScript();
+            endpoint.open();
+            endpoint.startScript();
             return null;
         });
-        return one;
+        return endpoint;
     }
 
     private static final byte[] CALL = HttpMessage.encode("POST /inbox HTTP/1.1",
         "hi".getBytes(StandardCharsets.UTF_8), "Request-Id: a");
 
-    private static String ask(Endpoint of, byte[] request) throws IOException {
-        try (Socket socket = new Socket("127.0.0.1", of.address().getPort())) {
+    private static String sendRequest(Endpoint endpoint, byte[] request) throws IOException {
+        try (Socket socket = new Socket("127.0.0.1", endpoint.address().getPort())) {
             socket.setSoTimeout(300);
             socket.getOutputStream().write(request);
             byte[] answer = new byte[200];
@@ -71,77 +71,80 @@
     }
 
     @Test
-    public void eachFaultIsMetAsItsNameSays() throws Exception {
+    public void eachFaultBehavesAsItsScriptWordSays() throws Exception {
         assertTrue(
-            ask(endpoint("0 s: answer 429 wait 0.5 s"), CALL).contains("429 -\r\nRetry-After: 0.5\r\n"));
-        expectThrows(SocketTimeoutException.class, () -> ask(endpoint("0 s: silent"), CALL));
-        for (String way : new String[]{"reset first", "reset last", "reset midway after 10 ms"}) {
-            expectThrows(SocketException.class, () -> ask(endpoint("0 s: " + way), CALL));
+            sendRequest(startEndpoint("0 s: answer 429 wait 0.5 s"), CALL)
+                .contains("429 -\r\nRetry-After: 0.5\r\n"));
+        expectThrows(SocketTimeoutException.class, () -> sendRequest(startEndpoint("0 s: silent"), CALL));
+        for (String fault : new String[]{"reset first", "reset last", "reset midway after 10 ms"}) {
+            expectThrows(SocketException.class, () -> sendRequest(startEndpoint("0 s: " + fault), CALL));
         }
-        String noise = ask(endpoint("0 s: garble"), CALL);
-        assertTrue(!noise.startsWith("HTTP") && noise.length() > 0);
-        Endpoint refusing = endpoint("0 s: refuse");
+        String garbage = sendRequest(startEndpoint("0 s: garble"), CALL);
+        assertTrue(!garbage.startsWith("HTTP") && garbage.length() > 0);
+        Endpoint refusing = startEndpoint("0 s: refuse");
         Thread.sleep(50);
-        expectThrows(ConnectException.class, () -> ask(refusing, CALL));
-        assertTrue(ask(endpoint(""), "no HTTP at all\r\nx\r\n\r\n".getBytes(StandardCharsets.US_ASCII))
-            .contains(" 400 "));
+        expectThrows(ConnectException.class, () -> sendRequest(refusing, CALL));
+        assertTrue(
+            sendRequest(startEndpoint(""), "no HTTP at all\r\nx\r\n\r\n".getBytes(StandardCharsets.US_ASCII))
+                .contains(" 400 "));
     }
 
     @Test
-    public void aReplacedEndpointIsFoundElsewhereUnderAnotherId() throws Exception {
-        Endpoint one = endpoint("10 ms: replaced");
-        int port = one.address().getPort();
-        for (int i = 0; i < 200 && reactor.call(one::id).equals("e"); i++) {
+    public void replacedEndpointHasAnotherIdAndPort() throws Exception {
+        Endpoint endpoint = startEndpoint("10 ms: replaced");
+        int port = endpoint.address().getPort();
+        for (int i = 0; i < 200 && reactor.call(endpoint::id).equals("e"); i++) {
             Thread.sleep(5);
         }
-        assertEquals(reactor.call(one::id), "e-1");
-        assertTrue(one.address().getPort() != port);
+        assertEquals(reactor.call(endpoint::id), "e-1");
+        assertTrue(endpoint.address().getPort() != port);
         expectThrows(ConnectException.class, () -> new Socket("127.0.0.1", port).close());
-        Platform platform = new Platform(reactor, new DeliveryReferee(0, 0), List.of(one));
+        Platform platform = new Platform(reactor, new DeliveryReferee(0, 0), List.of(endpoint));
         assertTrue(reactor.call(platform::listJson)
-            .contains("\"id\":\"e-1\",\"addr\":\"127.0.0.1:" + one.address().getPort() + '"'));
+            .contains("\"id\":\"e-1\",\"addr\":\"127.0.0.1:" + endpoint.address().getPort() + '"'));
     }
 
     @Test
-    public void messagesAreReadHoweverTheirBytesCome() {
-        HttpParser reader = new HttpParser();
-        byte[] two = new String(CALL, StandardCharsets.ISO_8859_1).repeat(2)
+    public void parserAcceptsMessagesByteByByte() {
+        HttpParser parser = new HttpParser();
+        byte[] twoMessages = new String(CALL, StandardCharsets.ISO_8859_1).repeat(2)
             .getBytes(StandardCharsets.ISO_8859_1);
-        int whole = 0;
-        for (byte b : two) {
-            reader.append(ByteBuffer.wrap(new byte[]{b}));
-            for (HttpMessage m = reader.nextMessage(); m != null; m = reader.nextMessage()) {
-                assertEquals(m.bodyText() + m.header("request-id") + m.method(), "hiaPOST");
-                whole++;
+        int messageCount = 0;
+        for (byte singleByte : twoMessages) {
+            parser.append(ByteBuffer.wrap(new byte[]{singleByte}));
+            for (HttpMessage message = parser.nextMessage(); message != null; message = parser
+                .nextMessage()) {
+                assertEquals(message.bodyText() + message.header("request-id") + message.method(), "hiaPOST");
+                messageCount++;
             }
         }
-        assertEquals(whole, 2);
-        reader.append(ByteBuffer
+        assertEquals(messageCount, 2);
+        parser.append(ByteBuffer
             .wrap("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-        expectThrows(IllegalArgumentException.class, reader::nextMessage);
+        expectThrows(IllegalArgumentException.class, parser::nextMessage);
     }
 
     @Test
-    public void oneThreadHoldsTwoThousandConnections() throws Exception {
+    public void oneThreadServesTwoThousandConnections() throws Exception {
         int count = 2_000;
-        Endpoint one = endpoint("0 s: answer 200 after 50 ms");
+        Endpoint endpoint = startEndpoint("0 s: answer 200 after 50 ms");
         AtomicInteger answered = new AtomicInteger();
-        List<Connection> wires = new ArrayList<>();
+        List<Connection> connections = new ArrayList<>();
         reactor.call(() -> {
             for (int i = 0; i < count; i++) {
-                Connection wire = reactor.connect(one.address(), new Connection.Handler() {
+                Connection connection = reactor.connect(endpoint.address(), new Connection.Handler() {
                     @Override
                     public void received(ByteBuffer bytes) {
                         answered.incrementAndGet();
                     }
 
                     @Override
-                    public void closed(boolean broken) {
-                        failures.add(new IOException("ended, broken " + broken));
+                    public void closed(boolean abnormal) {
+                        failures.add(new IOException("connection closed, abnormal: " + abnormal));
                     }
                 });
-                wire.write(CALL);
-                wires.add(wire);
+                connection.write(CALL);
+                connections.add(connection);
             }
             return null;
         });
@@ -149,13 +152,14 @@
             Thread.sleep(10);
         }
         assertEquals(answered.get(), count);
-        assertEquals((int) reactor.call(one::connectionCount), count);
+        assertEquals((int) reactor.call(endpoint::connectionCount), count);
     }
 
     @Test
-    public void nothingLeavesLoopback() throws Exception {
-        InetSocketAddress elsewhere = new InetSocketAddress(InetAddress.getByAddress(new byte[]{10, 0, 0, 1}),
+    public void connectOutsideLoopbackIsRefused() throws Exception {
+        InetSocketAddress remoteAddress = new InetSocketAddress(
+            InetAddress.getByAddress(new byte[]{10, 0, 0, 1}),
             80);
-        expectThrows(IllegalArgumentException.class, () -> reactor.connect(elsewhere, null));
+        expectThrows(IllegalArgumentException.class, () -> reactor.connect(remoteAddress, null));
     }
 }
