--- a/standins/src/main/java/yewpath/standins/peer/Client.java
+++ b/standins/src/main/java/yewpath/standins/peer/Client.java
@@ -3,120 +3,130 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
-import yewpath.standins.io.HttpReader;
-import yewpath.standins.io.Message;
+import yewpath.standins.io.Connection;
+import yewpath.standins.io.HttpMessage;
+import yewpath.standins.io.HttpParser;
 import yewpath.standins.io.Reactor;
-import yewpath.standins.io.Wire;
-import yewpath.standins.referee.Accounts;
+import yewpath.standins.referee.DeliveryReferee;
 
 /**
- * Clients of one relay: hands in an envelope on a connection that is free, or on a new one, and waits 400 ms for its
- * answer as the protocol has it. One request a connection at a time.
+ * The clients of one relay. Submits each message on an idle connection, or on a new one if none is idle, and
+ * waits 400 ms for the answer, as the protocol specifies. A connection carries one request at a time.
  */
 public final class Client {
-    private static final long PATIENCE = 400_000;
+    private static final long ANSWER_TIMEOUT_MICROS = 400_000;
 
     private final Reactor reactor;
-    private final Accounts accounts;
+    private final DeliveryReferee referee;
     private final InetSocketAddress relay;
-    private final ArrayDeque<Link> free = new ArrayDeque<>();
-    private int connections;
-    private long unanswered;
+    private final ArrayDeque<RelayConnection> idleConnections = new ArrayDeque<>();
+    private int connectionCount;
+    private long unansweredCount;
 
-    public Client(Reactor reactor, Accounts accounts, InetSocketAddress relay) {
+    public Client(Reactor reactor, DeliveryReferee referee, InetSocketAddress relay) {
         this.reactor = reactor;
-        this.accounts = accounts;
+        this.referee = referee;
         this.relay = relay;
     }
 
-    /** Only on the reactor's thread, as all below. {@code key} may be null. */
-    public void handIn(String id, String offering, Accounts.Kind kind, int destination, String key,
-        long within,
-        byte[] body) {
-        accounts.handedIn(id, offering, relay.toString(), kind, reactor.now(), within);
-        byte[] request = Message.bytes("POST /" + offering + " HTTP/1.1", body, "Host: relay",
+    /**
+     * Submits a message and reports its course to the referee. Like the methods below only for the reactor's
+     * thread.
+     *
+     * @param key value of the Affinity-Key header, null for none
+     * @param timeoutMicros time until the message's deadline
+     */
+    public void submit(String id, String messageClass, DeliveryReferee.DeliverySemantics semantics,
+        int destination, String key, long timeoutMicros, byte[] body) {
+        referee.submitted(id, messageClass, relay.toString(), semantics, reactor.nowMicros(), timeoutMicros);
+        byte[] request = HttpMessage.encode("POST /" + messageClass + " HTTP/1.1", body, "Host: relay",
             "Request-Id: " + id,
-            "Request-Timeout: " + within + "u", "X-Addressing: dest=" + destination, "Tenant: demo",
+            "Request-Timeout: " + timeoutMicros + "u", "X-Addressing: dest=" + destination, "Tenant: demo",
             key == null ? "X-None: 0" : "Affinity-Key: " + key);
-        Link link = free.pollLast();
-        (link == null ? new Link() : link).ask(id, request, link != null);
+        RelayConnection connection = idleConnections.pollLast();
+        (connection == null ? new RelayConnection() : connection).send(id, request, connection != null);
     }
 
-    public int connections() {
-        return connections;
+    /** Returns the number of open connections. */
+    public int connectionCount() {
+        return connectionCount;
     }
 
-    /** Requests that the relay neither answered nor turned away in time. */
-    public long unanswered() {
-        return unanswered;
+    /** Returns how many requests the relay did not answer in time, neither with success nor with an error. */
+    public long unansweredCount() {
+        return unansweredCount;
     }
 
-    /** One connection. */
-    private final class Link implements Wire.Owner {
-        private final Wire wire;
-        private final HttpReader reader = new HttpReader();
-        private String id;
+    /** One connection to the relay. */
+    private final class RelayConnection implements Connection.Handler {
+        private final Connection connection;
+        private final HttpParser parser = new HttpParser();
+        /** The message whose answer is awaited, null if the connection is idle. */
+        private String messageId;
         private byte[] request;
-        private boolean kept;
-        private Reactor.Timer patience;
+        /** Whether the connection had carried a request before this one. */
+        private boolean reused;
+        private Reactor.Timer answerTimeout;
 
-        Link() {
-            connections++;
-            wire = reactor.connect(relay, this);
+        RelayConnection() {
+            connectionCount++;
+            connection = reactor.connect(relay, this);
         }
 
-        void ask(String envelope, byte[] bytes, boolean onKept) {
-            id = envelope;
-            request = bytes;
-            kept = onKept;
-            patience = reactor.after(PATIENCE, () -> {
-                unanswered++;
-                ended(0);
+        void send(String id, byte[] requestBytes, boolean isReused) {
+            messageId = id;
+            request = requestBytes;
+            reused = isReused;
+            answerTimeout = reactor.schedule(ANSWER_TIMEOUT_MICROS, () -> {
+                unansweredCount++;
+                completed(0);
                 close();
             });
-            wire.write(bytes);
+            connection.write(requestBytes);
         }
 
         @Override
-        public void came(ByteBuffer bytes) {
-            reader.take(bytes);
-            Message answer = reader.next();
-            if (answer == null || id == null) {
+        public void received(ByteBuffer bytes) {
+            parser.append(bytes);
+            HttpMessage answer = parser.nextMessage();
+            if (answer == null || messageId == null) {
                 return;
             }
-            ended(answer.status());
+            completed(answer.status());
             if ("close".equals(answer.header("connection"))) {
                 close();
             } else {
-                free.addLast(this);
+                idleConnections.addLast(this);
             }
         }
 
-        private void ended(int status) {
-            patience.callOff();
-            String envelope = id;
-            id = null;
-            accounts.answered(envelope, status, reactor.now());
+        /** {@code status} is 0 if there was no answer. */
+        private void completed(int status) {
+            answerTimeout.cancel();
+            String id = messageId;
+            messageId = null;
+            referee.clientAnswered(id, status, reactor.nowMicros());
         }
 
         private void close() {
-            wire.close();
-            free.remove(this);
-            connections--;
+            connection.close();
+            idleConnections.remove(this);
+            connectionCount--;
         }
 
         @Override
-        public void over(boolean broken) {
-            String envelope = id;
+        public void closed(boolean abnormal) {
+            String id = messageId;
             close();
-            if (envelope != null) {
-                patience.callOff();
-                if (kept) {
-                    // The closing has crossed the request: the protocol has it sent once more, on a new connection.
-                    new Link().ask(envelope, request, false);
+            if (id != null) {
+                answerTimeout.cancel();
+                if (reused) {
+                    // The relay closed the idle connection while the request was on its way. The protocol
+                    // asks the client to send the request once more on a new connection.
+                    new RelayConnection().send(id, request, false);
                 } else {
-                    unanswered++;
-                    ended(0);
+                    unansweredCount++;
+                    completed(0);
                 }
             }
         }
