--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Starts one relay. The heap is two fifths of memory_mb in the configuration: with a fixed size, a relay with less memory
-# would be killed. The rest is for the virtual machine itself, which needs about 50 MB. The heap is allocated
+# Starts one relay. The heap is two fifths of memory_mb in the configuration: with a fixed size, a relay with less
+# memory would be killed. The rest is for the virtual machine itself, which needs about 50 MB. The heap is allocated
 # completely at the start, so that the memory usage of a relay does not grow over time.
 #
 # The script uses only shell built-ins before `exec`: a platform may limit a relay to one process, and starting `sed` or
--- a/relay/src/main/java/yewpath/command/Main.java
+++ b/relay/src/main/java/yewpath/command/Main.java
@@ -25,7 +25,7 @@
 public final class Main {
     /** The files that configure a relay. */
     private static class ConfigurationOptions {
-        @Parameter(names = "--config", description = "The platform's JSON configuration; default: $NODE_CONFIG")
+        @Parameter(names = "--config", description = "The platform's configuration; default: $NODE_CONFIG")
         String config;
         @Parameter(names = "--operator", description = "The operator's TOML file; default: no file")
         String operator;
