--- a/relay/src/main/java/yewpath/delivery/Answers.java
+++ b/relay/src/main/java/yewpath/delivery/Answers.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewpath.Egress;
-import yewpath.http.Parser;
+import yewpath.PolicyActions;
+import yewpath.http.HttpParser;
 import yewpath.json.Json;
 
 /** What an endpoint's answer says, in Logic's outcomes. */
@@ -12,21 +12,22 @@
     private Answers() {}
 
     /** {@code first} tells that nothing had been asked on this connection before. */
-    static int outcome(Parser answer, boolean first) {
-        if (first && answer.status() == 503 && !answer.lasting() && answer.header("Retry-After") == null) {
+    static int outcome(HttpParser answer, boolean first) {
+        if (first && answer.status() == 503 && !answer.isKeepAlive()
+            && answer.header("Retry-After") == null) {
             // Too many connections: closed at once without a word of a limit or a wait. It speaks of the table, not of the
             // limit; read as full, it took the pace away from relays that had hardly a connection.
-            return Egress.UNREACHED;
+            return PolicyActions.UNREACHABLE;
         }
         if (answer.status() == 503 && "1".equals(answer.header("X-Over-Slots"))) {
             // Says nothing of the endpoint: this relay had a call too many out, as one given up can still count.
-            return Egress.MOOT;
+            return PolicyActions.NOT_EXECUTED;
         }
         return switch (answer.status()) {
-            case 200 -> Egress.FULFILLED;
-            case 429, 503 -> Egress.FULL;
-            case 410, 504 -> Egress.MOOT;
-            default -> Egress.ERROR;
+            case 200 -> PolicyActions.DELIVERED;
+            case 429, 503 -> PolicyActions.OVERLOADED;
+            case 410, 504 -> PolicyActions.NOT_EXECUTED;
+            default -> PolicyActions.ERROR;
         };
     }
 
@@ -37,11 +38,11 @@
 
     static int outcomeOf(String state) {
         return switch (state) {
-            case "done" -> Egress.FULFILLED;
-            case "failed" -> Egress.ERROR;
-            case "busy" -> Egress.FULL;
-            case "void", "used_up" -> Egress.MOOT;
-            default -> Egress.BROKEN;
+            case "done" -> PolicyActions.DELIVERED;
+            case "failed" -> PolicyActions.ERROR;
+            case "busy" -> PolicyActions.OVERLOADED;
+            case "void", "used_up" -> PolicyActions.NOT_EXECUTED;
+            default -> PolicyActions.CONNECTION_LOST;
         };
     }
 
@@ -50,7 +51,7 @@
     }
 
     /** Microseconds, rounded up so as never to be early; 0 where none is told. */
-    static long wait(Parser answer) {
+    static long wait(HttpParser answer) {
         String told = answer.header("Retry-After");
         if (told == null || !told.matches("[0-9]{1,9}(\\.[0-9]{1,12})?")) {
             return 0;
@@ -59,7 +60,7 @@
     }
 
     /** One value of the load report that an answer carries; not a number where it has none. */
-    static double report(Parser answer, List<String> fields, String field) {
+    static double report(HttpParser answer, List<String> fields, String field) {
         String told = answer.header("Server-Load");
         if (told == null || !told.startsWith("TEXT ") || !fields.contains(field)) {
             return Double.NaN;
--- a/relay/src/main/java/yewpath/intake/ClientConnection.java
+++ b/relay/src/main/java/yewpath/intake/ClientConnection.java
@@ -5,16 +5,16 @@
 import org.xnio.StreamConnection;
 import yewpath.events.Event;
 import yewpath.events.Log;
+import yewpath.http.BufferedConnection;
 import yewpath.http.CloseReason;
-import yewpath.http.HttpFault;
-import yewpath.http.Link;
-import yewpath.http.Parser;
-import yewpath.http.Writer;
+import yewpath.http.HttpMessageBuilder;
+import yewpath.http.HttpParseException;
+import yewpath.http.HttpParser;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** The connection of one client. Reads a request, sends its response, then reads the next request. */
-final class ClientConnection implements Link.Owner {
+final class ClientConnection implements BufferedConnection.Listener {
     /**
      * The eviction cost of a connection that waits for a response: it is never closed to make room for
      * another.
@@ -26,12 +26,12 @@
     private static final byte[] CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n"
         .getBytes(StandardCharsets.ISO_8859_1);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final MessageIntake intake;
     private final Consumer<ClientConnection> closeHandler;
-    private final Parser parser;
-    private final Link link;
+    private final HttpParser parser;
+    private final BufferedConnection link;
     private final long connectedAtMicros;
     /** Time of the last change: connected, request begun, request complete, response sent, or refused. */
     private long lastActivityMicros;
@@ -49,19 +49,19 @@
      *
      * @param closeHandler called once the connection is closed
      */
-    ClientConnection(Loop loop, Limits limits, MessageIntake intake, StreamConnection connection,
+    ClientConnection(EventLoop loop, Limits limits, MessageIntake intake, StreamConnection connection,
         Consumer<ClientConnection> closeHandler) {
         this.loop = loop;
         this.limits = limits;
         this.intake = intake;
         this.closeHandler = closeHandler;
-        parser = new Parser(true, limits.headMost(), limits.bodyMost());
-        connectedAtMicros = lastActivityMicros = loop.now();
-        link = new Link(connection, limits.ringFirst(), limits.ringMost(), this);
+        parser = new HttpParser(true, limits.maxHeadBytes(), limits.maxBodyBytes());
+        connectedAtMicros = lastActivityMicros = loop.nowMicros();
+        link = new BufferedConnection(connection, limits.initialRingBytes(), limits.maxRingBytes(), this);
     }
 
     private boolean isBetweenRequests() {
-        return !responsePending && parser.untouched() && link.in.size() == 0;
+        return !responsePending && parser.isBeforeFirstByte() && link.input.size() == 0;
     }
 
     /**
@@ -78,14 +78,15 @@
             return COST_OF_INCOMPLETE_REQUEST;
         }
         long idleMicros = nowMicros - lastActivityMicros;
-        return idleMicros > (hasSentRequest ? limits.idleLeast() : limits.speechWithin()) ? 0
-            : hasSentRequest ? COST_OF_RECENT_REQUEST : COST_OF_NEW_CONNECTION;
+        return idleMicros > (hasSentRequest ? limits.idleBeforeEvictionMicros()
+            : limits.silenceBeforeEvictionMicros()) ? 0
+                : hasSentRequest ? COST_OF_RECENT_REQUEST : COST_OF_NEW_CONNECTION;
     }
 
     /** Reads what has been received meanwhile; returns whether the eviction cost is still the same. */
     boolean hasSameEvictionCostAfterReading(long nowMicros) {
         int costBefore = evictionCost(nowMicros);
-        link.look();
+        link.readAvailable();
         return link.isClosed() || evictionCost(nowMicros) == costBefore;
     }
 
@@ -97,17 +98,18 @@
     /** Closes the connection or refuses its request if one of the timeouts has expired. */
     void checkTimeouts(long nowMicros) {
         long elapsedMicros = nowMicros - lastActivityMicros;
-        if (lingering && elapsedMicros > limits.lingerFor()) {
+        if (lingering && elapsedMicros > limits.lingerMicros()) {
             close(CloseReason.REFUSED);
-        } else if (!link.allWritten() && elapsedMicros > limits.requestWithin()) {
-            close(CloseReason.ANSWER_NOT_READ);
+        } else if (!link.isAllWritten() && elapsedMicros > limits.requestTimeoutMicros()) {
+            close(CloseReason.RESPONSE_NOT_READ);
         } else if (!lingering && isBetweenRequests()
-            && elapsedMicros > (hasSentRequest ? limits.clientIdle() : limits.silentFor())
+            && elapsedMicros > (hasSentRequest ? limits.clientIdleTimeoutMicros()
+                : limits.silentClientTimeoutMicros())
             && hasSameEvictionCostAfterReading(nowMicros)) {
             close(CloseReason.IDLE);
         } else if (!lingering && !responsePending && !isBetweenRequests()
             && nowMicros - (hasSentRequest ? lastActivityMicros : connectedAtMicros) > limits
-                .requestWithin()) {
+                .requestTimeoutMicros()) {
             refuse(408);
         }
     }
@@ -118,10 +120,10 @@
      * is left open for the time in which a client normally sends its first request.
      */
     void closeIfIdle(long nowMicros) {
-        if (!hasSentRequest && nowMicros - connectedAtMicros < limits.speechWithin()) {
+        if (!hasSentRequest && nowMicros - connectedAtMicros < limits.silenceBeforeEvictionMicros()) {
             return;
         }
-        link.look();
+        link.readAvailable();
         if (!lingering && !link.isClosed() && isBetweenRequests()) {
             close(CloseReason.SHUTDOWN);
         }
@@ -133,7 +135,7 @@
      * round.
      */
     void closeUnlessResponsePending() {
-        link.look();
+        link.readAvailable();
         if (responsePending || lingering || link.isClosed()) {
             return;
         }
@@ -145,11 +147,11 @@
     }
 
     @Override
-    public void came() {
+    public void onBytesReceived() {
         if (lingering) {
-            discardedBytes += link.in.size();
-            link.in.skip(link.in.size());
-            if (discardedBytes > limits.lingerMost()) {
+            discardedBytes += link.input.size();
+            link.input.skip(link.input.size());
+            if (discardedBytes > limits.maxLingerBytes()) {
                 // The client had time to receive the response; reading unlimited input would delay the other
                 // clients.
                 close(CloseReason.REFUSED);
@@ -157,37 +159,38 @@
             return;
         }
         try {
-            while (!responsePending && !lingering && !link.isClosed() && link.in.size() > 0) {
-                lastActivityMicros = parser.untouched() ? loop.now() : lastActivityMicros;
-                if (!parser.read(link.in)) {
+            while (!responsePending && !lingering && !link.isClosed() && link.input.size() > 0) {
+                lastActivityMicros = parser.isBeforeFirstByte() ? loop.nowMicros() : lastActivityMicros;
+                if (!parser.parse(link.input)) {
                     sendContinue();
                     return;
                 }
                 responsePending = hasSentRequest = true;
-                lastActivityMicros = loop.now();
+                lastActivityMicros = loop.nowMicros();
                 handleRequest();
             }
-        } catch (HttpFault fault) {
+        } catch (HttpParseException fault) {
             refuse(fault.status);
         }
     }
 
     private void sendContinue() {
-        if (!continueSent && parser.headKnown() && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
+        if (!continueSent && parser.isHeadComplete()
+            && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
             continueSent = true;
             link.write(CONTINUE_RESPONSE);
         }
     }
 
     @Override
-    public void over(boolean broken) {
-        if (!broken && lingering && !link.allWritten()) {
+    public void onEndOfInput(boolean broken) {
+        if (!broken && lingering && !link.isAllWritten()) {
             // The client ended only its sending direction and may still read the response; a timeout closes
             // the connection if it does not.
             return;
         }
         // A client that ends its connection no longer waits: a request without a response is void.
-        close(broken ? CloseReason.RESET : CloseReason.ENDED);
+        close(broken ? CloseReason.RESET_BY_PEER : CloseReason.CLOSED_BY_PEER);
     }
 
     /** Closes the connection at once and informs the close handler. */
@@ -203,12 +206,13 @@
         String path = parser.target().split("\\?", 2)[0];
         if (path.equals("/health/ready") || path.equals("/health/live") || path.equals("/stats")) {
             if (!parser.method().equals("GET")) {
-                respond(Writer.answer(405).with("Allow", "GET"), new byte[0]);
+                respond(HttpMessageBuilder.response(405).header("Allow", "GET"), new byte[0]);
             } else if (path.equals("/stats")) {
-                respond(Writer.answer(200).with("Content-Type", "application/json"),
+                respond(HttpMessageBuilder.response(200).header("Content-Type", "application/json"),
                     intake.statistics());
             } else {
-                respond(Writer.answer(path.equals("/health/live") || intake.isReady() ? 200 : 503),
+                respond(
+                    HttpMessageBuilder.response(path.equals("/health/live") || intake.isReady() ? 200 : 503),
                     new byte[0]);
             }
             return;
@@ -217,7 +221,7 @@
         if (!intake.isKnownClass(messageClass)) {
             respondWithError(404);
         } else if (!parser.method().equals("POST")) {
-            respond(Writer.answer(405).with("Allow", "POST"), new byte[0]);
+            respond(HttpMessageBuilder.response(405).header("Allow", "POST"), new byte[0]);
         } else {
             submitMessage(messageClass);
         }
@@ -227,19 +231,19 @@
         String id = parser.header("Request-Id");
         long timeoutMicros = HeaderFields.parseMicros(parser.header("Request-Timeout"));
         String destination = HeaderFields.parseDestination(parser.header("X-Addressing"));
-        if (id == null || id.isEmpty() || id.length() > limits.idMost() || timeoutMicros < 0
+        if (id == null || id.isEmpty() || id.length() > limits.maxIdLength() || timeoutMicros < 0
             || destination == null) {
             respondWithError(400);
             return;
         }
         intake.submit(id, messageClass, parser.header("Tenant"), parser.header("Affinity-Key"),
             parser.header("Idempotency-Key"),
-            destination, timeoutMicros, parser.takeBody(), new MessageIntake.Reply() {
+            destination, timeoutMicros, parser.removeBody(), new MessageIntake.Reply() {
                 @Override
                 public boolean send(int status, long retryAfterMicros) {
-                    Writer response = Writer.answer(status);
+                    HttpMessageBuilder response = HttpMessageBuilder.response(status);
                     if (retryAfterMicros > 0) {
-                        response.with("Retry-After", HeaderFields.formatSeconds(retryAfterMicros));
+                        response.header("Retry-After", HeaderFields.formatSeconds(retryAfterMicros));
                     }
                     respond(response, new byte[0]);
                     return !link.isClosed();
@@ -247,34 +251,34 @@
 
                 @Override
                 public boolean isClientGone() {
-                    return link.isClosed() || link.isEnded();
+                    return link.isClosed() || link.isInputEnded();
                 }
             });
     }
 
     private void respondWithError(int status) {
         Log.log(Event.CLIENT_REFUSED, status);
-        respond(Writer.answer(status), new byte[0]);
+        respond(HttpMessageBuilder.response(status), new byte[0]);
     }
 
-    private void respond(Writer response, byte[] body) {
+    private void respond(HttpMessageBuilder response, byte[] body) {
         if (link.isClosed()) {
             return;
         }
-        boolean isLastResponse = !parser.lasting() || intake.isClosing();
+        boolean isLastResponse = !parser.isKeepAlive() || intake.isClosing();
         if (isLastResponse) {
-            response.with("Connection", "close");
+            response.header("Connection", "close");
         }
-        link.write(response.done(body));
+        link.write(response.build(body));
         responsePending = continueSent = false;
-        lastActivityMicros = loop.now();
-        parser.next();
+        lastActivityMicros = loop.nowMicros();
+        parser.startNextMessage();
         if (isLastResponse) {
             startLingering();
-        } else if (link.in.size() > 0) {
-            loop.thread().execute(this::came);
+        } else if (link.input.size() > 0) {
+            loop.thread().execute(this::onBytesReceived);
         }
-        link.readOn();
+        link.resumeReading();
     }
 
     /**
@@ -283,7 +287,7 @@
      */
     private void refuse(int status) {
         Log.log(Event.CLIENT_REFUSED, status);
-        link.write(Writer.answer(status).with("Connection", "close").empty());
+        link.write(HttpMessageBuilder.response(status).header("Connection", "close").buildWithEmptyBody());
         startLingering();
     }
 
@@ -293,9 +297,9 @@
      */
     private void startLingering() {
         lingering = true;
-        lastActivityMicros = loop.now();
-        link.in.skip(link.in.size());
-        link.endSending();
-        link.readOn();
+        lastActivityMicros = loop.nowMicros();
+        link.input.skip(link.input.size());
+        link.shutdownOutput();
+        link.resumeReading();
     }
 }
--- a/relay/src/main/java/yewpath/intake/ClientListener.java
+++ b/relay/src/main/java/yewpath/intake/ClientListener.java
@@ -15,12 +15,12 @@
 import yewpath.events.Event;
 import yewpath.events.Log;
 import yewpath.http.CloseReason;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 
 /** Accepts the connections of clients, limits their number and closes those whose timeouts have expired. */
 public final class ClientListener {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
     private final MessageIntake intake;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -31,7 +31,7 @@
     /**
      * Creates a listener that submits messages to {@code intake}; it accepts nothing before {@link #listen}.
      */
-    public ClientListener(Loop loop, Limits limits, MessageIntake intake) {
+    public ClientListener(EventLoop loop, Limits limits, MessageIntake intake) {
         this.loop = loop;
         this.limits = limits;
         this.intake = intake;
@@ -47,11 +47,14 @@
         worker = acceptWorker;
         listener = worker.createStreamConnectionServer(address, this::accept, OptionMap.builder()
             .set(Options.REUSE_ADDRESSES, true).set(Options.TCP_NODELAY, true)
-            .set(Options.BACKLOG, limits.backlog())
+            .set(Options.BACKLOG, limits.listenBacklog())
             // Without this limit, many connects at once would use up all descriptors before a connection is
             // evicted.
-            .set(Options.CONNECTION_HIGH_WATER, limits.clientLinks() + limits.acceptAhead())
-            .set(Options.CONNECTION_LOW_WATER, limits.clientLinks() + limits.acceptAhead() / 2).getMap());
+            .set(Options.CONNECTION_HIGH_WATER,
+                limits.maxClientConnections() + limits.extraAcceptedConnections())
+            .set(Options.CONNECTION_LOW_WATER,
+                limits.maxClientConnections() + limits.extraAcceptedConnections() / 2)
+            .getMap());
         listener.resumeAccepts();
         checkTimeouts();
         return listener.getLocalAddress(InetSocketAddress.class);
@@ -69,7 +72,7 @@
     }
 
     private void add(StreamConnection connection) {
-        if (connections.size() >= limits.clientLinks()) {
+        if (connections.size() >= limits.maxClientConnections()) {
             evictOne();
         }
         connections.add(new ClientConnection(loop, limits, intake, connection, connections::remove));
@@ -81,13 +84,13 @@
      * would reset it and lose the client's message.
      */
     private void evictOne() {
-        long now = loop.now();
+        long now = loop.nowMicros();
         for (ClientConnection candidate = cheapestToEvict(
             now); candidate != null; candidate = cheapestToEvict(
                 now)) {
             if (candidate.hasSameEvictionCostAfterReading(now)) {
                 Log.log(Event.CLIENT_EVICTED, (now - candidate.quietSince()) / 1000, connections.size());
-                candidate.close(CloseReason.MAKE_ROOM);
+                candidate.close(CloseReason.EVICTED);
                 return;
             }
         }
@@ -114,7 +117,7 @@
 
     /** Closes the connections that are idle between two requests; the others get their responses first. */
     public void closeIdle() {
-        long now = loop.now();
+        long now = loop.nowMicros();
         new ArrayList<>(connections).forEach(connection -> connection.closeIfIdle(now));
     }
 
@@ -135,10 +138,10 @@
     }
 
     private void closeListeningSocket() {
-        if (connections.size() >= limits.clientLinks()) {
+        if (connections.size() >= limits.maxClientConnections()) {
             // At the limit, some completed connections may still wait: accept them as soon as others have
             // closed.
-            loop.after(limits.sweepEvery() / 10, this::stopAccepting);
+            loop.schedule(limits.sweepIntervalMicros() / 10, this::stopAccepting);
             return;
         }
         IoUtils.safeClose(listener);
@@ -159,10 +162,10 @@
     }
 
     private void checkTimeouts() {
-        long now = loop.now();
+        long now = loop.nowMicros();
         for (ClientConnection connection : new ArrayList<>(connections)) {
             connection.checkTimeouts(now);
         }
-        loop.after(limits.sweepEvery(), this::checkTimeouts);
+        loop.schedule(limits.sweepIntervalMicros(), this::checkTimeouts);
     }
 }
--- a/relay/src/main/java/yewpath/relay/Config.java
+++ b/relay/src/main/java/yewpath/relay/Config.java
@@ -10,7 +10,7 @@
 import yewpath.boot.Boot;
 import yewpath.boot.Malformed;
 import yewpath.configuration.ConfigurationException;
-import yewpath.directory.Listing;
+import yewpath.directory.EndpointList;
 import yewpath.json.Json;
 import yewpath.loop.Limits;
 import yewpath.operator.OperatorFile;
@@ -35,7 +35,7 @@
     public final Boot boot;
     public final Limits limits;
     /** The list of endpoints as last held; null where none is told. */
-    Listing known;
+    EndpointList known;
     /** What the operator's file says, or all at its default. */
     public final OperatorSettings operator;
     final String operatorFile;
@@ -53,7 +53,7 @@
         Json.parse(json, at -> {
             Json.readObject(at, (name, value) -> {
                 if (name.equals("known") && value.currentToken() != JsonToken.VALUE_NULL) {
-                    known = Listing.read(value);
+                    known = EndpointList.read(value);
                 } else if (name.equals("settings")) {
                     Json.readObject(value, (inner, setting) -> Json.flatten(inner, setting, settings::put));
                 } else {
@@ -63,8 +63,8 @@
             return null;
         });
         name = pick(environment, flat, "NODE_NAME", "name", "relay");
-        listen = Listing.address(pick(environment, flat, "NODE_LISTEN", "listen", null));
-        discovery = Listing.address(pick(environment, flat, "NODE_DISCOVERY", "discovery", null));
+        listen = EndpointList.parseAddress(pick(environment, flat, "NODE_LISTEN", "listen", null));
+        discovery = EndpointList.parseAddress(pick(environment, flat, "NODE_DISCOVERY", "discovery", null));
         state = Path.of(pick(environment, flat, "NODE_STATE", "state", null));
         String told = flat.getOrDefault("seed", "0");
         if (!told.matches("[0-9a-fA-F]{1,16}")) {
@@ -72,11 +72,11 @@
         }
         seed = Long.parseUnsignedLong(told, 16);
         boot = new Boot(settings, true);
-        if (boot.settings.offerings.length == 0) {
+        if (boot.settings.messageClasses.length == 0) {
             throw new IllegalArgumentException("settings name no request_classes");
         }
-        limits = new Limits(name -> figure(flat, "limits." + name), boot.settings.connectTimeout,
-            boot.settings.connectionIdle, operator);
+        limits = new Limits(name -> figure(flat, "limits." + name), boot.settings.connectTimeoutMicros,
+            boot.settings.idleConnectionTimeoutMicros, operator);
     }
 
     private static double figure(Map<String, String> flat, String path) {
--- a/relay/src/main/java/yewpath/relay/Endpoints.java
+++ b/relay/src/main/java/yewpath/relay/Endpoints.java
@@ -3,20 +3,20 @@
 import java.net.InetSocketAddress;
 import java.util.Arrays;
 import java.util.BitSet;
-import yewpath.Logic;
+import yewpath.DeliveryPolicy;
 import yewpath.boot.Boot;
 import yewpath.boot.Names;
 import yewpath.delivery.Delivery;
-import yewpath.directory.Listing;
+import yewpath.directory.EndpointList;
 import yewpath.events.Event;
 import yewpath.events.Log;
 
 /** Turns the list's names into indices and hands it on, to Logic and to where calls are made. */
-final class Endpoints implements Listing.Hearer {
+final class Endpoints implements EndpointList.Listener {
     private static final int UP = 0;
 
     private final Boot boot;
-    private final Logic logic;
+    private final DeliveryPolicy logic;
     private final Delivery delivery;
     private final Names ids = new Names();
     private final Names destinations = new Names();
@@ -31,17 +31,17 @@
     private final BitSet unnamed = new BitSet();
     private boolean starting;
 
-    Endpoints(Boot boot, Logic logic, Delivery delivery) {
+    Endpoints(Boot boot, DeliveryPolicy logic, Delivery delivery) {
         this.boot = boot;
         this.logic = logic;
         this.delivery = delivery;
     }
 
     /** Takes the list that the configuration brings, which may be old, and returns its version. */
-    long start(Listing known) {
+    long start(EndpointList known) {
         starting = true;
         if (known != null) {
-            known.playTo(this);
+            known.notifyListener(this);
         }
         starting = false;
         return known == null ? 0 : known.version;
@@ -76,16 +76,17 @@
     }
 
     @Override
-    public void begins(boolean whole) {
+    public void listStarted(boolean whole) {
         unnamed.clear();
         if (whole) {
             unnamed.or(known);
         }
-        logic.listBegins(whole, starting);
+        logic.endpointListStarted(whole, starting);
     }
 
     @Override
-    public void entry(String id, InetSocketAddress address, String zone, String kind, String destination,
+    public void endpointListed(String id, InetSocketAddress address, String zone, String kind,
+        String destination,
         int phase,
         double rate, long since) {
         int at = ids.of(id);
@@ -98,8 +99,9 @@
         known.set(at);
         unnamed.clear(at);
         zones[at] = zone;
-        bundles[at] = kindAt < boot.settings.bundle.length ? boot.settings.bundle[kindAt] : 1;
-        boolean apart = kindAt < boot.settings.routesApart.length && boot.settings.routesApart[kindAt];
+        bundles[at] = kindAt < boot.settings.maxBatchSize.length ? boot.settings.maxBatchSize[kindAt] : 1;
+        boolean apart = kindAt < boot.settings.limitPerEndpoint.length
+            && boot.settings.limitPerEndpoint[kindAt];
         int to = destinations.of(destination);
         served.set(to);
         routes[at] = apart ? -1 - at : to;
@@ -111,7 +113,7 @@
             Log.log(Event.ENDPOINT_LISTED, id, address, destination,
                 phase == UP ? "up" : phase == 1 ? "draining" : "removed");
         }
-        logic.listed(at, boot.zones.of(zone), kindAt, to, phase, rate, since);
+        logic.endpointListed(at, boot.zones.of(zone), kindAt, to, phase, rate, since);
     }
 
     void forget(int endpoint) {
@@ -121,8 +123,8 @@
     }
 
     @Override
-    public void ends() {
+    public void listEnded() {
         unnamed.stream().forEach(delivery::shut);
-        logic.listEnds();
+        logic.endpointListEnded();
     }
 }
--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -26,16 +26,16 @@
 import org.xnio.XnioWorker;
 import yewpath.delivery.Call;
 import yewpath.delivery.Delivery;
-import yewpath.intake.MessageIntake;
 import yewpath.intake.ClientListener;
+import yewpath.intake.MessageIntake;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
 import yewpath.operator.OperatorSettings;
 
 /** Calls and clients' visits on real connections, with the thread that serves them held still at the instant in question. */
 public final class ConnectionsTest {
     private XnioWorker worker;
-    private Loop loop;
+    private EventLoop loop;
     private Limits limits;
     private Delivery delivery;
 
@@ -43,7 +43,7 @@
     public void build() throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
             .set(Options.WORKER_TASK_CORE_THREADS, 1).getMap());
-        loop = new Loop(worker.getIoThread());
+        loop = new EventLoop(worker.getIoThread());
         limits = new Limits(name -> 0, 2_000_000, 2_000_000, OperatorSettings.DEFAULTS);
         delivery = new Delivery(loop, limits, List.of(), () -> true);
     }
@@ -63,8 +63,8 @@
 
         Attempt(String id, long expiresIn, long leavesIn) {
             this.id = id;
-            expiry = loop.now() + expiresIn;
-            leaveBy = loop.now() + leavesIn;
+            expiry = loop.nowMicros() + expiresIn;
+            leaveBy = loop.nowMicros() + leavesIn;
         }
 
         @Override
@@ -128,7 +128,7 @@
             Attempt cargo = new Attempt("late", 20_000_000, 300_000);
             send(cargo, at(deaf.address()));
             until("it is taken back, its connection not up yet", 1_500, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(Egress.MOOT));
+            assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
         }
     }
 
@@ -139,11 +139,12 @@
             cargo.body = null;
             send(cargo, at(endpoint.address()));
             until("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(Egress.MOOT));
+            assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
             assertEquals(delivery.callsOut(), 0);
             Attempt next = new Attempt("next", 20_000_000, 20_000_000);
             send(next, at(endpoint.address()));
-            until("the next goes as ever", 2_000, () -> next.outcomes.equals(List.of(Egress.FULFILLED)));
+            until("the next goes as ever", 2_000,
+                () -> next.outcomes.equals(List.of(PolicyActions.DELIVERED)));
         }
     }
 
@@ -161,12 +162,12 @@
                 } catch (IOException e) {
                     cargo.outcomes.add(100);
                 }
-                Stand.pause(Math.max(1, (cargo.expiry - loop.now()) / 1000 + 20));
+                Stand.pause(Math.max(1, (cargo.expiry - loop.nowMicros()) / 1000 + 20));
                 held.countDown();
             });
             assertTrue(held.await(5, TimeUnit.SECONDS));
             until("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(Egress.FULFILLED));
+            assertEquals(cargo.outcomes, List.of(PolicyActions.DELIVERED));
         }
     }
 
@@ -182,11 +183,11 @@
             Attempt b = new Attempt("b", 20_000_000, 20_000_000);
             Attempt c = new Attempt("c", 20_000_000, 20_000_000);
             sendTogether(at(endpoint.address()), a, b);
-            until("one is refused", 2_000, () -> b.outcomes.equals(List.of(Egress.FULL)));
+            until("one is refused", 2_000, () -> b.outcomes.equals(List.of(PolicyActions.OVERLOADED)));
             sendTogether(at(endpoint.address()), b, c);
             until("both are delivered", 2_000, () -> c.outcomes.size() == 1);
-            assertEquals(b.outcomes, List.of(Egress.FULL, Egress.FULFILLED));
-            assertEquals(c.outcomes, List.of(Egress.FULFILLED));
+            assertEquals(b.outcomes, List.of(PolicyActions.OVERLOADED, PolicyActions.DELIVERED));
+            assertEquals(c.outcomes, List.of(PolicyActions.DELIVERED));
         }
     }
 
@@ -202,7 +203,7 @@
                 assertTrue(peer.getInputStream().read() >= 0);
                 peer.getOutputStream().write(OK.getBytes(StandardCharsets.ISO_8859_1));
                 until("it has its end", 3_000, () -> cargo.outcomes.size() == 1);
-                assertEquals(cargo.outcomes, List.of(Egress.UNREACHED));
+                assertEquals(cargo.outcomes, List.of(PolicyActions.UNREACHABLE));
             }
         }
     }
