--- a/relay/src/main/java/yewpath/intake/ClientConnection.java
+++ b/relay/src/main/java/yewpath/intake/ClientConnection.java
@@ -26,12 +26,12 @@
     private static final byte[] CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n"
         .getBytes(StandardCharsets.ISO_8859_1);
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Limits limits;
     private final MessageIntake intake;
     private final Consumer<ClientConnection> closeHandler;
     private final HttpParser parser;
-    private final BufferedConnection link;
+    private final BufferedConnection connection;
     private final long connectedAtMicros;
     /** Time of the last change: connected, request begun, request complete, response sent, or refused. */
     private long lastActivityMicros;
@@ -49,19 +49,19 @@
      *
      * @param closeHandler called once the connection is closed
      */
-    ClientConnection(EventLoop loop, Limits limits, MessageIntake intake, StreamConnection connection,
+    ClientConnection(EventLoop eventLoop, Limits limits, MessageIntake intake, StreamConnection channel,
         Consumer<ClientConnection> closeHandler) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.limits = limits;
         this.intake = intake;
         this.closeHandler = closeHandler;
         parser = new HttpParser(true, limits.maxHeadBytes(), limits.maxBodyBytes());
-        connectedAtMicros = lastActivityMicros = loop.nowMicros();
-        link = new BufferedConnection(connection, limits.initialRingBytes(), limits.maxRingBytes(), this);
+        connectedAtMicros = lastActivityMicros = eventLoop.nowMicros();
+        connection = new BufferedConnection(channel, limits.initialRingBytes(), limits.maxRingBytes(), this);
     }
 
     private boolean isBetweenRequests() {
-        return !responsePending && parser.isBeforeFirstByte() && link.input.size() == 0;
+        return !responsePending && parser.isBeforeFirstByte() && connection.input.size() == 0;
     }
 
     /**
@@ -86,12 +86,12 @@
     /** Reads what has been received meanwhile; returns whether the eviction cost is still the same. */
     boolean hasSameEvictionCostAfterReading(long nowMicros) {
         int costBefore = evictionCost(nowMicros);
-        link.readAvailable();
-        return link.isClosed() || evictionCost(nowMicros) == costBefore;
+        connection.readAvailable();
+        return connection.isClosed() || evictionCost(nowMicros) == costBefore;
     }
 
     /** Returns the time of the last activity in microseconds of the loop's clock. */
-    long quietSince() {
+    long lastActivityMicros() {
         return lastActivityMicros;
     }
 
@@ -100,7 +100,7 @@
         long elapsedMicros = nowMicros - lastActivityMicros;
         if (lingering && elapsedMicros > limits.lingerMicros()) {
             close(CloseReason.REFUSED);
-        } else if (!link.isAllWritten() && elapsedMicros > limits.requestTimeoutMicros()) {
+        } else if (!connection.isAllWritten() && elapsedMicros > limits.requestTimeoutMicros()) {
             close(CloseReason.RESPONSE_NOT_READ);
         } else if (!lingering && isBetweenRequests()
             && elapsedMicros > (hasSentRequest ? limits.clientIdleTimeoutMicros()
@@ -123,8 +123,8 @@
         if (!hasSentRequest && nowMicros - connectedAtMicros < limits.silenceBeforeEvictionMicros()) {
             return;
         }
-        link.readAvailable();
-        if (!lingering && !link.isClosed() && isBetweenRequests()) {
+        connection.readAvailable();
+        if (!lingering && !connection.isClosed() && isBetweenRequests()) {
             close(CloseReason.SHUTDOWN);
         }
     }
@@ -135,8 +135,8 @@
      * round.
      */
     void closeUnlessResponsePending() {
-        link.readAvailable();
-        if (responsePending || lingering || link.isClosed()) {
+        connection.readAvailable();
+        if (responsePending || lingering || connection.isClosed()) {
             return;
         }
         if (isBetweenRequests()) {
@@ -149,8 +149,8 @@
     @Override
     public void onBytesReceived() {
         if (lingering) {
-            discardedBytes += link.input.size();
-            link.input.skip(link.input.size());
+            discardedBytes += connection.input.size();
+            connection.input.skip(connection.input.size());
             if (discardedBytes > limits.maxLingerBytes()) {
                 // The client had time to receive the response; reading unlimited input would delay the other
                 // clients.
@@ -159,14 +159,14 @@
             return;
         }
         try {
-            while (!responsePending && !lingering && !link.isClosed() && link.input.size() > 0) {
-                lastActivityMicros = parser.isBeforeFirstByte() ? loop.nowMicros() : lastActivityMicros;
-                if (!parser.parse(link.input)) {
+            while (!responsePending && !lingering && !connection.isClosed() && connection.input.size() > 0) {
+                lastActivityMicros = parser.isBeforeFirstByte() ? eventLoop.nowMicros() : lastActivityMicros;
+                if (!parser.parse(connection.input)) {
                     sendContinue();
                     return;
                 }
                 responsePending = hasSentRequest = true;
-                lastActivityMicros = loop.nowMicros();
+                lastActivityMicros = eventLoop.nowMicros();
                 handleRequest();
             }
         } catch (HttpParseException fault) {
@@ -178,13 +178,13 @@
         if (!continueSent && parser.isHeadComplete()
             && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
             continueSent = true;
-            link.write(CONTINUE_RESPONSE);
+            connection.write(CONTINUE_RESPONSE);
         }
     }
 
     @Override
     public void onEndOfInput(boolean broken) {
-        if (!broken && lingering && !link.isAllWritten()) {
+        if (!broken && lingering && !connection.isAllWritten()) {
             // The client ended only its sending direction and may still read the response; a timeout closes
             // the connection if it does not.
             return;
@@ -198,7 +198,7 @@
         if (Log.isEnabled(Event.CLIENT_CLOSED)) {
             Log.log(Event.CLIENT_CLOSED, reason, responsePending);
         }
-        link.close();
+        connection.close();
         closeHandler.accept(this);
     }
 
@@ -246,12 +246,12 @@
                         response.header("Retry-After", HeaderFields.formatSeconds(retryAfterMicros));
                     }
                     respond(response, new byte[0]);
-                    return !link.isClosed();
+                    return !connection.isClosed();
                 }
 
                 @Override
                 public boolean isClientGone() {
-                    return link.isClosed() || link.isInputEnded();
+                    return connection.isClosed() || connection.isInputEnded();
                 }
             });
     }
@@ -262,23 +262,23 @@
     }
 
     private void respond(HttpMessageBuilder response, byte[] body) {
-        if (link.isClosed()) {
+        if (connection.isClosed()) {
             return;
         }
         boolean isLastResponse = !parser.isKeepAlive() || intake.isClosing();
         if (isLastResponse) {
             response.header("Connection", "close");
         }
-        link.write(response.build(body));
+        connection.write(response.build(body));
         responsePending = continueSent = false;
-        lastActivityMicros = loop.nowMicros();
+        lastActivityMicros = eventLoop.nowMicros();
         parser.startNextMessage();
         if (isLastResponse) {
             startLingering();
-        } else if (link.input.size() > 0) {
-            loop.thread().execute(this::onBytesReceived);
+        } else if (connection.input.size() > 0) {
+            eventLoop.thread().execute(this::onBytesReceived);
         }
-        link.resumeReading();
+        connection.resumeReading();
     }
 
     /**
@@ -287,7 +287,8 @@
      */
     private void refuse(int status) {
         Log.log(Event.CLIENT_REFUSED, status);
-        link.write(HttpMessageBuilder.response(status).header("Connection", "close").buildWithEmptyBody());
+        connection
+            .write(HttpMessageBuilder.response(status).header("Connection", "close").buildWithEmptyBody());
         startLingering();
     }
 
@@ -297,9 +298,9 @@
      */
     private void startLingering() {
         lingering = true;
-        lastActivityMicros = loop.nowMicros();
-        link.input.skip(link.input.size());
-        link.shutdownOutput();
-        link.resumeReading();
+        lastActivityMicros = eventLoop.nowMicros();
+        connection.input.skip(connection.input.size());
+        connection.shutdownOutput();
+        connection.resumeReading();
     }
 }
--- a/relay/src/main/java/yewpath/intake/ClientListener.java
+++ b/relay/src/main/java/yewpath/intake/ClientListener.java
@@ -20,7 +20,7 @@
 
 /** Accepts the connections of clients, limits their number and closes those whose timeouts have expired. */
 public final class ClientListener {
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Limits limits;
     private final MessageIntake intake;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -31,8 +31,8 @@
     /**
      * Creates a listener that submits messages to {@code intake}; it accepts nothing before {@link #listen}.
      */
-    public ClientListener(EventLoop loop, Limits limits, MessageIntake intake) {
-        this.loop = loop;
+    public ClientListener(EventLoop eventLoop, Limits limits, MessageIntake intake) {
+        this.eventLoop = eventLoop;
         this.limits = limits;
         this.intake = intake;
     }
@@ -75,7 +75,7 @@
         if (connections.size() >= limits.maxClientConnections()) {
             evictOne();
         }
-        connections.add(new ClientConnection(loop, limits, intake, connection, connections::remove));
+        connections.add(new ClientConnection(eventLoop, limits, intake, connection, connections::remove));
     }
 
     /**
@@ -84,12 +84,12 @@
      * would reset it and lose the client's message.
      */
     private void evictOne() {
-        long now = loop.nowMicros();
+        long nowMicros = eventLoop.nowMicros();
         for (ClientConnection candidate = cheapestToEvict(
-            now); candidate != null; candidate = cheapestToEvict(
-                now)) {
-            if (candidate.hasSameEvictionCostAfterReading(now)) {
-                Log.log(Event.CLIENT_EVICTED, (now - candidate.quietSince()) / 1000, connections.size());
+            nowMicros); candidate != null; candidate = cheapestToEvict(nowMicros)) {
+            if (candidate.hasSameEvictionCostAfterReading(nowMicros)) {
+                Log.log(Event.CLIENT_EVICTED, (nowMicros - candidate.lastActivityMicros()) / 1000,
+                    connections.size());
                 candidate.close(CloseReason.EVICTED);
                 return;
             }
@@ -100,14 +100,14 @@
      * Returns the connection with the lowest cost, of several the longest idle; null if all wait for a
      * response.
      */
-    private ClientConnection cheapestToEvict(long now) {
+    private ClientConnection cheapestToEvict(long nowMicros) {
         ClientConnection cheapest = null;
         int lowestCost = ClientConnection.NOT_EVICTABLE;
         for (ClientConnection connection : connections) {
-            int cost = connection.evictionCost(now);
+            int cost = connection.evictionCost(nowMicros);
             if (cost < lowestCost
                 || cheapest != null && cost == lowestCost
-                    && connection.quietSince() < cheapest.quietSince()) {
+                    && connection.lastActivityMicros() < cheapest.lastActivityMicros()) {
                 cheapest = connection;
                 lowestCost = cost;
             }
@@ -117,8 +117,8 @@
 
     /** Closes the connections that are idle between two requests; the others get their responses first. */
     public void closeIdle() {
-        long now = loop.nowMicros();
-        new ArrayList<>(connections).forEach(connection -> connection.closeIfIdle(now));
+        long nowMicros = eventLoop.nowMicros();
+        new ArrayList<>(connections).forEach(connection -> connection.closeIfIdle(nowMicros));
     }
 
     /**
@@ -133,7 +133,7 @@
         listener.wakeupAccepts();
         worker.execute(() -> {
             worker.getMXBean().getServerMXBeans().forEach(XnioServerMXBean::getConnectionCount);
-            loop.thread().execute(this::closeListeningSocket);
+            eventLoop.thread().execute(this::closeListeningSocket);
         });
     }
 
@@ -141,7 +141,7 @@
         if (connections.size() >= limits.maxClientConnections()) {
             // At the limit, some completed connections may still wait: accept them as soon as others have
             // closed.
-            loop.schedule(limits.sweepIntervalMicros() / 10, this::stopAccepting);
+            eventLoop.schedule(limits.sweepIntervalMicros() / 10, this::stopAccepting);
             return;
         }
         IoUtils.safeClose(listener);
@@ -162,10 +162,10 @@
     }
 
     private void checkTimeouts() {
-        long now = loop.nowMicros();
+        long nowMicros = eventLoop.nowMicros();
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            connection.checkTimeouts(now);
+            connection.checkTimeouts(nowMicros);
         }
-        loop.schedule(limits.sweepIntervalMicros(), this::checkTimeouts);
+        eventLoop.schedule(limits.sweepIntervalMicros(), this::checkTimeouts);
     }
 }
