--- a/lab/src/main/java/yewpath/lab/load/SocketStation.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketStation.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import yewpath.Egress;
+import yewpath.PolicyActions;
 import yewpath.lab.world.Envelope;
 import yewpath.lab.world.Shot;
 import yewpath.lab.world.Station;
@@ -127,9 +127,9 @@
             shot = null;
             firstByteAt = -1;
             switch (outcome) {
-                case Egress.FULFILLED -> wire.write(HttpMessage.encodeResponse(200));
-                case Egress.ERROR -> wire.write(HttpMessage.encodeResponse(500));
-                case Egress.FULL -> wire.write(
+                case PolicyActions.DELIVERED -> wire.write(HttpMessage.encodeResponse(200));
+                case PolicyActions.ERROR -> wire.write(HttpMessage.encodeResponse(500));
+                case PolicyActions.OVERLOADED -> wire.write(
                     pause > 0 ? HttpMessage.encodeResponse(429, "Retry-After: " + pause / 1e6)
                         : HttpMessage.encodeResponse(503));
                 default -> {
--- /dev/null
+++ b/relay/src/main/java/yewpath/directory/DiscoveryClient.java
@@ -0,0 +1,232 @@
+package yewpath.directory;
+
+import java.net.InetSocketAddress;
+import yewpath.events.Event;
+import yewpath.events.Log;
+import yewpath.http.CloseReason;
+import yewpath.http.HttpMessageBuilder;
+import yewpath.http.HttpParser;
+import yewpath.http.OutboundConnection;
+import yewpath.json.Values;
+import yewpath.loop.EventLoop;
+import yewpath.loop.Limits;
+
+/**
+ * Keeps the list of endpoints up to date with service discovery. A watch is a response that does not end:
+ * discovery sends the changes since the version last known, then each further change, and empty lines as
+ * heartbeats. After any failure the last list stays in use.
+ */
+public final class DiscoveryClient {
+    private final EventLoop loop;
+    private final Limits limits;
+    private InetSocketAddress discovery;
+    private final EndpointList.Listener listener;
+    private final Runnable onRequestEnded;
+    private long version;
+    /** The connection of the latest watch; null before the first one. */
+    private OutboundConnection connection;
+    private EventLoop.Timer retryTimer;
+    private long backoffMicros;
+    private boolean everAnswered;
+
+    /**
+     * Creates a client that sends nothing yet.
+     *
+     * @param version the version of the list that is in use at the start; 0 if there is none
+     * @param listener receives all lists and changes, in the rounds of the loop
+     * @param onRequestEnded called when a watch has ended or a fetch has failed; if it is null, a watch that
+     * ended is restarted after a delay that doubles with each failure
+     */
+    public DiscoveryClient(EventLoop loop, Limits limits, InetSocketAddress discovery, long version,
+        EndpointList.Listener listener, Runnable onRequestEnded) {
+        this.loop = loop;
+        this.limits = limits;
+        this.discovery = discovery;
+        this.version = version;
+        this.listener = listener;
+        this.onRequestEnded = onRequestEnded;
+    }
+
+    /** Starts a watch from the last version known and closes the previous watch, if there is one. */
+    public void startWatch() {
+        if (retryTimer != null) {
+            retryTimer.cancel();
+        }
+        if (connection != null) {
+            connection.closeWithoutNotifying();
+        }
+        sendRequest("/registry/instances?follow=1&since=" + version, true);
+    }
+
+    /**
+     * Returns whether discovery has answered since this process started, and its answer was passed to the
+     * listener.
+     */
+    public boolean hasAnswered() {
+        return everAnswered;
+    }
+
+    /**
+     * Changes the address of discovery. A watch continues there from the last version; the list stays in use.
+     */
+    public void setAddress(InetSocketAddress address) {
+        discovery = address;
+        backoffMicros = 0;
+        if (connection != null) {
+            startWatch();
+        }
+    }
+
+    /** Requests the complete list once, without a watch. */
+    public void fetchList() {
+        sendRequest("/registry/instances", false);
+    }
+
+    private void sendRequest(String target, boolean isWatch) {
+        OutboundConnection requestConnection = new OutboundConnection(loop, limits, discovery,
+            limits.maxDiscoveryLineBytes());
+        connection = isWatch ? requestConnection : connection;
+        byte[] request = HttpMessageBuilder.request("GET", target, discovery).build();
+        requestConnection.sendRequest(request, new ResponseHandler(requestConnection, isWatch));
+    }
+
+    /** Handles the response to one request, which lasts as long as the watch does. */
+    private final class ResponseHandler implements OutboundConnection.ResponseHandler {
+        private final OutboundConnection source;
+        private final boolean isWatch;
+        private final Values values = new Values(this::objectReceived, this::emptyLineReceived);
+        private EventLoop.Timer silenceTimer;
+        private final long requestedAtMicros = loop.nowMicros();
+        private boolean headReceived;
+        private boolean answered;
+
+        ResponseHandler(OutboundConnection source, boolean isWatch) {
+            this.source = source;
+            this.isWatch = isWatch;
+            restartSilenceTimer();
+        }
+
+        /**
+         * Called only when something complete was received: the head, an empty line or an object. Guards
+         * against a watch that will never deliver a change again although single bytes still arrive, or
+         * although its last line broke off in the middle.
+         */
+        private void restartSilenceTimer() {
+            if (silenceTimer != null) {
+                silenceTimer.cancel();
+            }
+            silenceTimer = loop.schedule(limits.discoverySilenceTimeoutMicros(),
+                () -> source.close(CloseReason.SILENT));
+        }
+
+        @Override
+        public void onPartialResponse(HttpParser answer) {
+            if (!isWatch || !answer.isHeadComplete() || answer.status() != 200) {
+                return;
+            }
+            if (!headReceived) {
+                headReceived = true;
+                restartSilenceTimer();
+                loop.schedule(limits.responseCompletionTimeoutMicros(), this::answerWithoutChanges);
+            }
+            feed(answer);
+        }
+
+        /**
+         * Runs some time after the head. If nothing has changed, no object follows the head; if something
+         * has, the object may arrive separately from the head and in pieces.
+         */
+        private void answerWithoutChanges() {
+            if (!source.isClosed() && !values.isInside()) {
+                answeredWithoutList();
+            }
+        }
+
+        /**
+         * Passes an empty list of changes to the listener, if nothing was received on this watch before.
+         * Guards against a caller that requests lists itself taking a watch on which nothing changes for an
+         * unanswered request, and repeating it again and again.
+         */
+        private void answeredWithoutList() {
+            if (!answered) {
+                answered = true;
+                loop.enqueue(() -> {
+                    listener.listStarted(false);
+                    listener.listEnded();
+                });
+            }
+            markAnswered();
+        }
+
+        @Override
+        public void onResponse(HttpParser answer) {
+            silenceTimer.cancel();
+            if (answer.status() == 200) {
+                feed(answer);
+                if (values.isInside()) {
+                    Log.tell(Event.DIRECTORY_GARBLED, "response ended in the middle of an object");
+                }
+            }
+            source.close(CloseReason.NOT_REUSABLE);
+            if (isWatch || answer.status() != 200) {
+                requestEnded(isWatch);
+            }
+        }
+
+        @Override
+        public void onFailure(boolean sent, HttpParser answer) {
+            silenceTimer.cancel();
+            requestEnded(isWatch);
+        }
+
+        /**
+         * Parses what has been received of the body. If that is not valid, the connection is closed; the next
+         * watch starts from the last valid version, so that discovery sends the same changes again.
+         */
+        private void feed(HttpParser answer) {
+            try {
+                values.feed(answer.removeBody(), limits.maxDiscoveryLineBytes());
+            } catch (IllegalArgumentException invalid) {
+                Log.tell(Event.DIRECTORY_GARBLED, invalid.getMessage());
+                source.close(CloseReason.MALFORMED_LIST);
+            }
+        }
+
+        private void emptyLineReceived() {
+            restartSilenceTimer();
+            // A watch that has lasted longer than the delay before it no longer counts as a repeated failure.
+            backoffMicros = loop.nowMicros() - requestedAtMicros > backoffMicros ? 0 : backoffMicros;
+            answeredWithoutList();
+        }
+
+        private void objectReceived(byte[] bytes) {
+            EndpointList list = EndpointList.read(bytes);
+            answered = true;
+            restartSilenceTimer();
+            loop.enqueue(() -> {
+                list.notifyListener(listener);
+                version = list.version;
+                backoffMicros = 0;
+            });
+            markAnswered();
+        }
+    }
+
+    /** Takes effect in the round of the loop in which the listener receives what discovery has answered. */
+    private void markAnswered() {
+        if (!everAnswered) {
+            loop.enqueue(() -> everAnswered = true);
+        }
+    }
+
+    private void requestEnded(boolean isWatch) {
+        if (onRequestEnded != null) {
+            onRequestEnded.run();
+        } else if (isWatch) {
+            backoffMicros = Math.min(limits.maxRetryDelayMicros(),
+                Math.max(limits.initialRetryDelayMicros(), 2 * backoffMicros));
+            Log.tell(Event.DIRECTORY_LOST, backoffMicros / 1000);
+            retryTimer = loop.schedule(backoffMicros, this::startWatch);
+        }
+    }
+}
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -7,29 +7,29 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import yewpath.Egress;
-import yewpath.Logic;
-import yewpath.Settings;
+import yewpath.DeliveryPolicy;
+import yewpath.PolicyActions;
+import yewpath.PolicySettings;
 import yewpath.boot.Boot;
 import yewpath.delivery.Call;
 import yewpath.delivery.Delivery;
-import yewpath.directory.Watch;
+import yewpath.directory.DiscoveryClient;
 import yewpath.events.Event;
 import yewpath.events.Log;
-import yewpath.intake.MessageIntake;
 import yewpath.intake.ClientListener;
+import yewpath.intake.MessageIntake;
 import yewpath.json.Tokens;
-import yewpath.ledger.Entry;
+import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
+import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
-import yewpath.loop.Loop;
-import yewpath.outcome.Notices;
+import yewpath.outcome.NoticeSender;
 
 /**
  * The one that speaks with Logic. A round: what was gathered is handed in, Logic closes the round, the ledger
  * is written, and only then does anything leave that rests on it.
  */
-final class Relay implements Egress, MessageIntake {
+final class Relay implements PolicyActions, MessageIntake {
     /** One call to make: an endpoint and what Logic sent there in this round. */
     private static final class Sending {
         final int endpoint;
@@ -46,15 +46,15 @@
         "cancelled",
         "moot", "stale"};
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Ledger ledger;
     private final LedgerWriter ledgerWriter;
     private final Boot boot;
-    private final Logic logic;
+    private final DeliveryPolicy logic;
     private final Delivery delivery;
-    private final Notices notices;
+    private final NoticeSender notices;
     private final Endpoints endpoints;
-    private final Watch watch;
+    private final DiscoveryClient watch;
     private final HeldMessages envelopes;
     private final KeyOrder keyOrder = new KeyOrder();
     private final Shutdown closing;
@@ -73,37 +73,37 @@
     private long deferredEver;
     private long abortedEver;
 
-    Relay(Config config, Loop loop, Ledger ledger) {
+    Relay(Config config, EventLoop loop, Ledger ledger) {
         this.loop = loop;
         this.ledger = ledger;
         boot = config.boot;
         Limits limits = config.limits;
-        Settings settings = boot.settings;
-        unknownOffering = settings.offerings.length;
-        if (ledger.live().stream().anyMatch(entry -> boot.offerings.find(entry.offering) < 0)) {
+        PolicySettings settings = boot.settings;
+        unknownOffering = settings.messageClasses.length;
+        if (ledger.entries().stream().anyMatch(entry -> boot.offerings.find(entry.messageClass) < 0)) {
             addUnknown(settings);
         }
         // A call that finds all connections in use would have none: what Logic may have out is what can be held.
-        settings.slots = Math.min(settings.slots, limits.endpointLinks());
-        holdLimit = settings.holdLimit > 0 ? settings.holdLimit : Integer.MAX_VALUE;
-        tellsPause = settings.tellsPause;
-        envelopes = new HeldMessages(settings.settleAfterDoubt);
+        settings.maxConcurrentCalls = Math.min(settings.maxConcurrentCalls, limits.maxEndpointConnections());
+        holdLimit = settings.maxOpenMessages > 0 ? settings.maxOpenMessages : Integer.MAX_VALUE;
+        tellsPause = settings.reportsRetryAfter;
+        envelopes = new HeldMessages(settings.settleAfterUncertainMicros);
         closing = new Shutdown(loop, limits);
-        notices = new Notices(loop, limits, config.discovery, this::told);
+        notices = new NoticeSender(loop, limits, config.discovery, this::told);
         ledgerWriter = new LedgerWriter(loop, ledger, notices::add);
         delivery = new Delivery(loop, limits, boot.reportFields, ledgerWriter::flush);
-        loop.eachRound(this::round);
-        logic = new Logic(settings, config.seed, this, loop.now());
+        loop.setRoundAction(this::round);
+        logic = new DeliveryPolicy(settings, config.seed, this, loop.nowMicros());
         endpoints = new Endpoints(boot, logic, delivery);
-        watch = new Watch(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
-            settings.listAsked ? () -> loop.gather(logic::listFailed) : null);
-        if (!settings.listAsked) {
-            watch.follow();
+        watch = new DiscoveryClient(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
+            settings.listOnRequest ? () -> loop.enqueue(logic::endpointListFailed) : null);
+        if (!settings.listOnRequest) {
+            watch.startWatch();
         }
-        ledger.live().forEach(this::restore);
-        listBy = settings.listAsked ? 0 : loop.now() + limits.connectWithin();
-        loop.after(limits.connectWithin(), loop::ask);
-        loop.ask();
+        ledger.entries().forEach(this::restore);
+        listBy = settings.listOnRequest ? 0 : loop.nowMicros() + limits.connectTimeoutMicros();
+        loop.schedule(limits.connectTimeoutMicros(), loop::requestRound);
+        loop.requestRound();
     }
 
     /**
@@ -121,51 +121,55 @@
      * Guards against giving up, untried, what an earlier life took on under a name that the settings don't have any more. Of
      * its kind nothing is known, so it is handled with the most care: sent once, in the order of its key, after the others.
      */
-    private static void addUnknown(Settings settings) {
-        int last = settings.offerings.length;
-        double revenue = Arrays.stream(settings.offerings).mapToDouble(Settings.Offering::revenue).min()
+    private static void addUnknown(PolicySettings settings) {
+        int last = settings.messageClasses.length;
+        double revenue = Arrays.stream(settings.messageClasses)
+            .mapToDouble(PolicySettings.MessageClass::revenue).min()
             .orElse(0);
-        long expiry = Arrays.stream(settings.offerings).mapToLong(Settings.Offering::expiry).max().orElse(0);
-        settings.offerings = Arrays.copyOf(settings.offerings, last + 1);
-        settings.offerings[last] = new Settings.Offering(revenue, revenue, expiry, expiry,
-            Settings.Kind.ONCE_ONLY, false, 0, true);
+        long expiry = Arrays.stream(settings.messageClasses)
+            .mapToLong(PolicySettings.MessageClass::timeToLiveMicros).max().orElse(0);
+        settings.messageClasses = Arrays.copyOf(settings.messageClasses, last + 1);
+        settings.messageClasses[last] = new PolicySettings.MessageClass(revenue, revenue, expiry, expiry,
+            PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, true);
     }
 
-    private void restore(Entry entry) {
+    private void restore(LedgerEntry entry) {
         if (entry.noticeOwed) {
             owe(entry);
             return;
         }
-        int offering = boot.offerings.find(entry.offering);
-        hand(envelopes.add(entry, loop.now()), offering < 0 ? unknownOffering : offering,
-            boot.zones.of(entry.doubtZone));
+        int offering = boot.offerings.find(entry.messageClass);
+        hand(envelopes.add(entry, loop.nowMicros()), offering < 0 ? unknownOffering : offering,
+            boot.zones.of(entry.uncertainZone));
         if (Log.tells(Event.ENVELOPE_RESTORED)) {
-            Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.shots, entry.doubtSince >= 0);
+            Log.tell(Event.ENVELOPE_RESTORED, entry.id, entry.attempts, entry.uncertainSinceMicros >= 0);
         }
     }
 
     private void hand(HeldMessage one, int offering, int doubtZone) {
-        Entry entry = one.entry;
-        logic.taken(one.index, offering, entry.tenant == null ? -1 : boot.tenants.find(entry.tenant), one.key,
-            endpoints.destination(entry.destination), entry.expiry, entry.shots, entry.doubtSince, doubtZone);
+        LedgerEntry entry = one.entry;
+        logic.messageAccepted(one.index, offering,
+            entry.tenant == null ? -1 : boot.tenants.find(entry.tenant), one.key,
+            endpoints.destination(entry.destination), entry.deadlineMicros, entry.attempts,
+            entry.uncertainSinceMicros, doubtZone);
     }
 
     // ---- Rounds
 
     private void round() {
         rounds++;
-        long now = loop.now();
-        logic.at(now);
-        loop.playGathered();
+        long now = loop.nowMicros();
+        logic.setTime(now);
+        loop.runQueuedEvents();
         boolean maySend = closing.mayShoot(now) && !listIsOld(now) && ledger.isWritable();
-        Loop.safely(() -> logic.turn(maySend));
+        EventLoop.runLoggingFailures(() -> logic.completeRound(maySend));
         joining.clear();
         if (!ledgerWriter.flush()) {
             refuseTaken();
         }
         answerClients();
         for (Runnable act : acts) {
-            Loop.safely(act);
+            EventLoop.runLoggingFailures(act);
         }
         acts.clear();
         ledgerWriter.flush();
@@ -179,7 +183,7 @@
                 refuse(one.entry.id, "disk", one.reply);
                 one.reply = null;
                 one.left = true;
-                loop.gather(() -> letGo(one));
+                loop.enqueue(() -> letGo(one));
             }
         }
         taken.clear();
@@ -209,8 +213,8 @@
             out.writeNumberField("open", envelopes.open());
             out.writeNumberField("calls_out", delivery.callsOut());
             out.writeNumberField("endpoint_links", delivery.links());
-            out.writeNumberField("notices_owed", notices.owed());
-            out.writeNumberField("ledger_bytes", ledger.bytes());
+            out.writeNumberField("notices_owed", notices.unacknowledgedCount());
+            out.writeNumberField("ledger_bytes", ledger.fileBytes());
             out.writeBooleanField("ledger_writable", ledger.isWritable());
             out.writeNumberField("rounds", rounds);
             out.writeNumberField("taken", takenEver);
@@ -226,8 +230,8 @@
     @Override
     public void handIn(String id, String offering, String tenant, String key, String tag, String destination,
         long within, byte[] body, Reply reply) {
-        long expiry = loop.now() + within;
-        loop.gather(() -> take(id, offering, tenant, key, tag, destination, expiry, body, reply));
+        long expiry = loop.nowMicros() + within;
+        loop.enqueue(() -> take(id, offering, tenant, key, tag, destination, expiry, body, reply));
     }
 
     private void take(String id, String offering, String tenant, String key, String tag, String destination,
@@ -240,9 +244,9 @@
             reply.with(202, 0);
             return;
         }
-        Entry entry = ledger.draft(id, offering, tenant, key, tag, destination, expiry, body);
+        LedgerEntry entry = ledger.createEntry(id, offering, tenant, key, tag, destination, expiry, body);
         String refusal = isClosing() ? "closing" : !ledger.isWritable() ? "disk"
-            : envelopes.open() >= holdLimit ? "hold" : !ledger.hasRoom(entry) ? "ledger"
+            : envelopes.open() >= holdLimit ? "hold" : !ledger.hasRoomFor(entry) ? "ledger"
                 // Held, it would take the room of others until its expiry, and each such number would be kept for good; but
                 // the list that names it may only be late, so the client is to come again.
                 : !endpoints.knowsDestination(destination) ? "unlisted" : null;
@@ -251,13 +255,14 @@
             return;
         }
         // Written down at once, so that the next of the same round finds what room is left.
-        ledger.taken(entry);
-        HeldMessage one = envelopes.add(entry, loop.now());
+        ledger.recordAccepted(entry);
+        HeldMessage one = envelopes.add(entry, loop.nowMicros());
         one.reply = reply;
         taken.add(one);
         takenEver++;
         if (Log.tells(Event.ENVELOPE_TAKEN)) {
-            Log.tell(Event.ENVELOPE_TAKEN, id, offering, tenant, destination, (expiry - loop.now()) / 1000,
+            Log.tell(Event.ENVELOPE_TAKEN, id, offering, tenant, destination,
+                (expiry - loop.nowMicros()) / 1000,
                 body.length);
         }
         hand(one, boot.offerings.find(offering), 0);
@@ -267,14 +272,14 @@
         if (Log.tells(Event.ENVELOPE_REFUSED)) {
             Log.tell(Event.ENVELOPE_REFUSED, id, why);
         }
-        reply.with(503, tellsPause ? logic.awayFor() : 0);
+        reply.with(503, tellsPause ? logic.resubmitDelayMicros() : 0);
     }
 
     /** The first thing to leave in a round: that envelopes handed in are taken on. */
     private void answerClients() {
         List<HeldMessage> due = List.copyOf(taken);
         taken.clear();
-        due.forEach(one -> Loop.safely(() -> answerClient(one)));
+        due.forEach(one -> EventLoop.runLoggingFailures(() -> answerClient(one)));
     }
 
     private void answerClient(HeldMessage one) {
@@ -283,7 +288,7 @@
         if (!one.over && !reply.with(202, 0)) {
             // It may hand the envelope in again under another id.
             one.left = true;
-            loop.gather(() -> withdraw(one));
+            loop.enqueue(() -> withdraw(one));
         }
     }
 
@@ -296,9 +301,9 @@
 
     private void letGo(HeldMessage one) {
         if (!one.over) {
-            logic.withdrawn(one.index);
-            ledger.over(one.entry);
-            envelopes.end(one, loop.now());
+            logic.messageWithdrawn(one.index);
+            ledger.recordCompleted(one.entry);
+            envelopes.end(one, loop.nowMicros());
         }
     }
 
@@ -310,8 +315,8 @@
         one.leaveBy = leaveBy;
         one.shotsOut++;
         one.shots++;
-        long endsAt = withinMicros > 0 ? Math.min(one.entry.expiry, loop.now() + withinMicros)
-            : one.entry.expiry;
+        long endsAt = withinMicros > 0 ? Math.min(one.entry.deadlineMicros, loop.nowMicros() + withinMicros)
+            : one.entry.deadlineMicros;
         Sending sending = joining.get(endpoint);
         if (sending == null || sending.carried.size() >= endpoints.bundle(endpoint)) {
             Sending begun = new Sending(endpoint);
@@ -329,7 +334,7 @@
         for (HeldMessage one : sending.carried) {
             one.attempt = new Shot(one, sending.endpoint);
             if (one.left) {
-                one.attempt.ended(MOOT, 0, true, Double.NaN, Double.NaN);
+                one.attempt.ended(NOT_EXECUTED, 0, true, Double.NaN, Double.NaN);
                 one.attempt.callOver();
             } else if (isOrdered(one.entry) && keyOrder.isHeld(one.entry.key)) {
                 Call waits = delivery.prepare(sending.endpoint, List.of(one.attempt), sending.endsAt);
@@ -345,9 +350,9 @@
     }
 
     /** One of an offering that is not known any more may have been. */
-    private boolean isOrdered(Entry entry) {
-        int offering = boot.offerings.find(entry.offering);
-        return entry.key != null && (offering < 0 || boot.settings.offerings[offering].ordered());
+    private boolean isOrdered(LedgerEntry entry) {
+        int offering = boot.offerings.find(entry.messageClass);
+        return entry.key != null && (offering < 0 || boot.settings.messageClasses[offering].ordered());
     }
 
     /** An envelope's part in a call, and what its end leaves to be done. */
@@ -355,7 +360,7 @@
         private final HeldMessage one;
         private final int endpoint;
         private final int number;
-        private final long sentAt = loop.now();
+        private final long sentAt = loop.nowMicros();
 
         Shot(HeldMessage one, int endpoint) {
             this.one = one;
@@ -375,7 +380,7 @@
 
         @Override
         public String tag() {
-            return one.entry.tag;
+            return one.entry.idempotencyKey;
         }
 
         @Override
@@ -385,7 +390,7 @@
 
         @Override
         public long expiry() {
-            return one.entry.expiry;
+            return one.entry.deadlineMicros;
         }
 
         @Override
@@ -395,7 +400,7 @@
 
         @Override
         public void leaving() {
-            ledger.shot(one.entry, loop.now(), endpoints.zone(endpoint));
+            ledger.recordAttempt(one.entry, loop.nowMicros(), endpoints.zone(endpoint));
             if (Log.tells(Event.ENVELOPE_SHOT)) {
                 Log.tell(Event.ENVELOPE_SHOT, one.entry.id, number, endpoints.name(endpoint));
             }
@@ -403,14 +408,14 @@
 
         @Override
         public void ended(int outcome, long wait, boolean over, double left, double limit) {
-            long elapsed = loop.now() - sentAt;
+            long elapsed = loop.nowMicros() - sentAt;
             if (isOrdered(one.entry)) {
                 keyOrder.begin(one.entry.key, this);
             }
             if (wait > 0) {
                 endpoints.waitTold(endpoint);
             }
-            loop.gather(() -> settle(outcome, wait, over, elapsed, left, limit));
+            loop.enqueue(() -> settle(outcome, wait, over, elapsed, left, limit));
         }
 
         @Override
@@ -420,21 +425,23 @@
 
         private void settle(int outcome, long wait, boolean over, long elapsed, double left, double limit) {
             if (over && !one.over) {
-                fulfilledEver += outcome == FULFILLED ? 1 : 0;
-                ledger.over(one.entry);
+                fulfilledEver += outcome == DELIVERED ? 1 : 0;
+                ledger.recordCompleted(one.entry);
             } else if (!one.over) {
-                ledger.back(one.entry, outcome == FULL || outcome == UNREACHED || outcome == MOOT);
+                ledger.recordAttemptEnded(one.entry,
+                    outcome == OVERLOADED || outcome == UNREACHABLE || outcome == NOT_EXECUTED);
             }
             one.call = null;
             if (Log.tells(Event.ENVELOPE_BACK)) {
                 tellEnd(outcome, wait, over, elapsed);
             }
-            logic.settled(one.index, over || one.over, number, endpoint, outcome, wait, elapsed, left, limit);
+            logic.attemptEnded(one.index, over || one.over, number, endpoint, outcome, wait, elapsed, left,
+                limit);
             one.shotsOut--;
             if (over) {
-                envelopes.end(one, loop.now());
+                envelopes.end(one, loop.nowMicros());
             }
-            envelopes.release(one, loop.now());
+            envelopes.release(one, loop.nowMicros());
         }
 
         private void tellEnd(int outcome, long wait, boolean over, long elapsed) {
@@ -450,7 +457,7 @@
     }
 
     @Override
-    public void cancel(int envelope, int shot) {
+    public void cancelAttempt(int envelope, int shot) {
         HeldMessage one = envelopes.at(envelope);
         acts.add(() -> {
             // An envelope has one shot out at most: the one meant.
@@ -461,30 +468,30 @@
     }
 
     @Override
-    public void close(int endpoint) {
+    public void closeIdleConnections(int endpoint) {
         acts.add(() -> delivery.closeIdle(endpoint));
     }
 
     @Override
-    public void forget(int endpoint) {
+    public void releaseEndpoint(int endpoint) {
         endpoints.forget(endpoint);
     }
 
     @Override
-    public void health(int endpoint, boolean well) {
+    public void endpointHealthChanged(int endpoint, boolean well) {
         Log.tell(well ? Event.ENDPOINT_WELL : Event.ENDPOINT_SICK, endpoints.name(endpoint));
     }
 
     // ---- Ends
 
     @Override
-    public void defer(int envelope, long pauseMicros) {
+    public void reject(int envelope, long pauseMicros) {
         deferredEver++;
         finish(envelopes.at(envelope), true, tellsPause ? pauseMicros : 0);
     }
 
     @Override
-    public void abort(int envelope) {
+    public void fail(int envelope) {
         abortedEver++;
         finish(envelopes.at(envelope), false, 0);
     }
@@ -498,53 +505,53 @@
         } else {
             Log.tell(Event.ENVELOPE_GIVEN_UP, one.entry.id);
         }
-        envelopes.end(one, loop.now());
+        envelopes.end(one, loop.nowMicros());
         if (one.reply != null) {
             Reply reply = one.reply;
-            ledger.over(one.entry);
+            ledger.recordCompleted(one.entry);
             acts.add(() -> reply.with(handedBack ? 503 : 500, pause));
         } else {
-            ledger.owed(one.entry, handedBack, pause);
+            ledger.recordNoticeOwed(one.entry, handedBack, pause);
             acts.add(() -> owe(one.entry));
         }
     }
 
-    private void owe(Entry entry) {
+    private void owe(LedgerEntry entry) {
         if (isOrdered(entry)) {
             keyOrder.begin(entry.key, entry);
         }
         ledgerWriter.tellOnceWritten(entry);
     }
 
-    private void told(Entry entry) {
-        ledger.over(entry);
+    private void told(LedgerEntry entry) {
+        ledger.recordCompleted(entry);
         keyOrder.end(entry);
-        loop.ask();
+        loop.requestRound();
     }
 
     // ---- Time and list
 
     @Override
-    public void alarm(long inMicros) {
-        loop.after(inMicros, () -> loop.gather(logic::due));
+    public void setAlarm(long inMicros) {
+        loop.schedule(inMicros, () -> loop.enqueue(logic::alarmFired));
     }
 
     @Override
-    public void list(boolean follow) {
-        acts.add(follow ? watch::follow : watch::fetch);
+    public void requestEndpointList(boolean follow) {
+        acts.add(follow ? watch::startWatch : watch::fetchList);
     }
 
     /** Held envelopes, calls and clients know nothing of it. */
     void discoveryAt(InetSocketAddress address) {
-        watch.move(address);
-        notices.move(address);
+        watch.setAddress(address);
+        notices.setAddress(address);
     }
 
     // ---- Closing
 
     void close(ClientListener listener, CountDownLatch gone) {
         Log.tell(Event.RELAY_CLOSING, envelopes.open(), delivery.callsOut());
-        closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isTelling(),
+        closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isSending(),
             () -> envelopes.open() > 0,
             gone);
     }
