--- a/relay/src/main/java/yewpath/directory/EndpointList.java
+++ b/relay/src/main/java/yewpath/directory/EndpointList.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 
 /**
  * A list of endpoints from service discovery: either the complete list or the changes to an earlier one. A
@@ -55,7 +55,7 @@
      * @throws IllegalArgumentException if the text is not a valid list
      */
     public static EndpointList read(byte[] bytes) {
-        return Tokens.read(bytes, EndpointList::read);
+        return Json.parse(bytes, EndpointList::read);
     }
 
     /**
@@ -69,20 +69,20 @@
         boolean[] complete = {false};
         List<ListedEndpoint> endpoints = new ArrayList<>();
         boolean[] hasEndpoints = {false};
-        Tokens.object(parser, (name, value) -> {
+        Json.readObject(parser, (name, value) -> {
             switch (name) {
-                case "version" -> version[0] = Tokens.number(value);
+                case "version" -> version[0] = Json.readNumber(value);
                 case "full" -> complete[0] = value.currentToken() == JsonToken.VALUE_TRUE;
                 case "servers" -> {
                     endpoints.clear();
                     hasEndpoints[0] = true;
-                    Tokens.list(value, element -> endpoints.add(readEndpoint(element)));
+                    Json.readArray(value, element -> endpoints.add(readEndpoint(element)));
                 }
                 default -> value.skipChildren();
             }
         });
         if (Double.isNaN(version[0]) || !hasEndpoints[0]) {
-            throw Tokens.fault(parser,
+            throw Json.error(parser,
                 "endpoint list has no member " + (hasEndpoints[0] ? "version" : "servers"));
         }
         return new EndpointList((long) version[0], complete[0], endpoints);
@@ -91,32 +91,32 @@
     private static ListedEndpoint readEndpoint(JsonParser parser) throws IOException {
         String[] texts = new String[5];
         double[] numbers = {Double.NaN, Double.NaN, Double.NaN};
-        Tokens.object(parser, (name, value) -> {
+        Json.readObject(parser, (name, value) -> {
             switch (name) {
-                case "id" -> texts[0] = Tokens.text(value);
-                case "addr" -> texts[1] = Tokens.text(value);
-                case "zone" -> texts[2] = Tokens.text(value);
-                case "kind" -> texts[3] = Tokens.text(value);
-                case "state" -> texts[4] = Tokens.text(value);
-                case "cell" -> numbers[0] = Tokens.number(value);
-                case "weight" -> numbers[1] = Tokens.number(value);
-                case "started_ms" -> numbers[2] = Tokens.number(value);
+                case "id" -> texts[0] = Json.readString(value);
+                case "addr" -> texts[1] = Json.readString(value);
+                case "zone" -> texts[2] = Json.readString(value);
+                case "kind" -> texts[3] = Json.readString(value);
+                case "state" -> texts[4] = Json.readString(value);
+                case "cell" -> numbers[0] = Json.readNumber(value);
+                case "weight" -> numbers[1] = Json.readNumber(value);
+                case "started_ms" -> numbers[2] = Json.readNumber(value);
                 default -> value.skipChildren();
             }
         });
         for (String text : texts) {
             if (text == null) {
-                throw Tokens.fault(parser, "endpoint entry lacks one of id, addr, zone, kind and state");
+                throw Json.error(parser, "endpoint entry lacks one of id, addr, zone, kind and state");
             }
         }
         for (double number : numbers) {
             if (Double.isNaN(number)) {
-                throw Tokens.fault(parser, "endpoint entry lacks one of cell, weight and started_ms");
+                throw Json.error(parser, "endpoint entry lacks one of cell, weight and started_ms");
             }
         }
         int state = STATES.indexOf(texts[4]);
         if (state < 0) {
-            throw Tokens.fault(parser, "endpoint state is not one of up, draining and removed: " + texts[4]);
+            throw Json.error(parser, "endpoint state is not one of up, draining and removed: " + texts[4]);
         }
         // The JSON identifies a destination by a whole number, which it calls "cell".
         return new ListedEndpoint(texts[0], parseAddress(texts[1]), texts[2], texts[3],
--- a/relay/src/main/java/yewpath/http/OutboundConnection.java
+++ b/relay/src/main/java/yewpath/http/OutboundConnection.java
@@ -201,13 +201,13 @@
     private void handleCompleteResponse() {
         switch (handler.matchResponse(parser)) {
             case EARLIER_REQUEST -> {
-                Log.tell(Event.ANSWER_FOREIGN, address, parser.status());
+                Log.log(Event.RESPONSE_STALE, address, parser.status());
                 earlierResponseReceived = true;
                 parser.startNextMessage();
                 handler.onPartialResponse(parser);
             }
             case UNCERTAIN -> {
-                Log.tell(Event.ANSWER_UNCERTAIN, address, parser.status());
+                Log.log(Event.RESPONSE_REPEATED, address, parser.status());
                 close(CloseReason.AMBIGUOUS_RESPONSE);
             }
             case CURRENT -> deliverResponse(!earlierResponseReceived);
@@ -259,8 +259,8 @@
         }
         boolean sent = isSendComplete();
         closed = true;
-        if (Log.tells(Event.CONNECTION_CLOSED)) {
-            Log.tell(Event.CONNECTION_CLOSED, address, reason, sent && handler != null);
+        if (Log.isEnabled(Event.CONNECTION_CLOSED)) {
+            Log.log(Event.CONNECTION_CLOSED, address, reason, sent && handler != null);
         }
         if (connectTimer != null) {
             connectTimer.cancel();
--- a/relay/src/main/java/yewpath/intake/ClientConnection.java
+++ b/relay/src/main/java/yewpath/intake/ClientConnection.java
@@ -13,109 +13,133 @@
 import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
 
-/** One client's connection: reads a request, waits for its answer, then reads the next. */
+/** The connection of one client. Reads a request, sends its response, then reads the next request. */
 final class ClientConnection implements BufferedConnection.Listener {
-    /** One that waits for its answer is never closed for want of room. */
-    static final int NEEDED = 4;
-    private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n"
+    /**
+     * The eviction cost of a connection that waits for a response: it is never closed to make room for
+     * another.
+     */
+    static final int NOT_EVICTABLE = 4;
+    private static final int COST_OF_INCOMPLETE_REQUEST = 3;
+    private static final int COST_OF_NEW_CONNECTION = 2;
+    private static final int COST_OF_RECENT_REQUEST = 1;
+    private static final byte[] CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n"
         .getBytes(StandardCharsets.ISO_8859_1);
 
     private final EventLoop loop;
     private final Limits limits;
     private final MessageIntake intake;
-    private final Consumer<ClientConnection> left;
+    private final Consumer<ClientConnection> closeHandler;
     private final HttpParser parser;
     private final BufferedConnection link;
-    private final long connectedAt;
-    private long since;
-    private int skipped;
-    private boolean asked;
-    private boolean answering;
-    private boolean leaving;
-    private boolean told;
+    private final long connectedAtMicros;
+    /** Time of the last change: connected, request begun, request complete, response sent, or refused. */
+    private long lastActivityMicros;
+    private int discardedBytes;
+    private boolean hasSentRequest;
+    private boolean responsePending;
+    /**
+     * The last response has been written; input is read and discarded until the client or a limit ends it.
+     */
+    private boolean lingering;
+    private boolean continueSent;
 
+    /**
+     * Starts to read from an accepted connection.
+     *
+     * @param closeHandler called once the connection is closed
+     */
     ClientConnection(EventLoop loop, Limits limits, MessageIntake intake, StreamConnection connection,
-        Consumer<ClientConnection> left) {
+        Consumer<ClientConnection> closeHandler) {
         this.loop = loop;
         this.limits = limits;
         this.intake = intake;
-        this.left = left;
+        this.closeHandler = closeHandler;
         parser = new HttpParser(true, limits.maxHeadBytes(), limits.maxBodyBytes());
-        connectedAt = since = loop.nowMicros();
+        connectedAtMicros = lastActivityMicros = loop.nowMicros();
         link = new BufferedConnection(connection, limits.initialRingBytes(), limits.maxRingBytes(), this);
     }
 
-    private boolean isBetween() {
-        return !answering && parser.isBeforeFirstByte() && link.input.size() == 0;
+    private boolean isBetweenRequests() {
+        return !responsePending && parser.isBeforeFirstByte() && link.input.size() == 0;
     }
 
     /**
-     * How much it would be missed. Guards against those that connect and say nothing, or ask once and stay, taking
-     * the room of the others: clients that mean to ask do so at once, and a close after 2 s is expected.
+     * Returns how costly closing this connection would be, from 0 to {@link #NOT_EVICTABLE}. Clients that
+     * connect and send nothing, or stay connected after a request, must not use up the connections of the
+     * others: a client that wants to send a request does so at once, and clients expect an idle connection to
+     * be closed after 2 s.
      */
-    int missed(long now) {
-        if (answering) {
-            return NEEDED;
+    int evictionCost(long nowMicros) {
+        if (responsePending) {
+            return NOT_EVICTABLE;
         }
-        if (!isBetween()) {
-            return 3;
+        if (!isBetweenRequests()) {
+            return COST_OF_INCOMPLETE_REQUEST;
         }
-        long quiet = now - since;
-        return quiet > (asked ? limits.idleBeforeEvictionMicros() : limits.silenceBeforeEvictionMicros()) ? 0
-            : asked ? 1 : 2;
+        long idleMicros = nowMicros - lastActivityMicros;
+        return idleMicros > (hasSentRequest ? limits.idleBeforeEvictionMicros()
+            : limits.silenceBeforeEvictionMicros()) ? 0
+                : hasSentRequest ? COST_OF_RECENT_REQUEST : COST_OF_NEW_CONNECTION;
     }
 
-    /** Whether a last look finds nothing that would make it missed more. */
-    boolean restsStill(long now) {
-        int before = missed(now);
+    /** Reads what has been received meanwhile; returns whether the eviction cost is still the same. */
+    boolean hasSameEvictionCostAfterReading(long nowMicros) {
+        int costBefore = evictionCost(nowMicros);
         link.readAvailable();
-        return link.isClosed() || missed(now) == before;
+        return link.isClosed() || evictionCost(nowMicros) == costBefore;
     }
 
+    /** Returns the time of the last activity in microseconds of the loop's clock. */
     long quietSince() {
-        return since;
+        return lastActivityMicros;
     }
 
-    void checkTime(long now) {
-        long waited = now - since;
-        if (leaving && waited > limits.lingerMicros()) {
+    /** Closes the connection or refuses its request if one of the timeouts has expired. */
+    void checkTimeouts(long nowMicros) {
+        long elapsedMicros = nowMicros - lastActivityMicros;
+        if (lingering && elapsedMicros > limits.lingerMicros()) {
             close(CloseReason.REFUSED);
-        } else if (!link.isAllWritten() && waited > limits.requestTimeoutMicros()) {
+        } else if (!link.isAllWritten() && elapsedMicros > limits.requestTimeoutMicros()) {
             close(CloseReason.RESPONSE_NOT_READ);
-        } else if (!leaving && isBetween()
-            && waited > (asked ? limits.clientIdleTimeoutMicros() : limits.silentClientTimeoutMicros())
-            && restsStill(now)) {
+        } else if (!lingering && isBetweenRequests()
+            && elapsedMicros > (hasSentRequest ? limits.clientIdleTimeoutMicros()
+                : limits.silentClientTimeoutMicros())
+            && hasSameEvictionCostAfterReading(nowMicros)) {
             close(CloseReason.IDLE);
-        } else if (!leaving && !answering && !isBetween()
-            && now - (asked ? since : connectedAt) > limits.requestTimeoutMicros()) {
+        } else if (!lingering && !responsePending && !isBetweenRequests()
+            && nowMicros - (hasSentRequest ? lastActivityMicros : connectedAtMicros) > limits
+                .requestTimeoutMicros()) {
             refuse(408);
         }
     }
 
     /**
-     * Ends a connection on which nothing is under way, after a last look: a client whose request this closing crosses
-     * knows that it was not read, and sends it once more. One that only just connected is given time to speak.
+     * Closes the connection if it is idle, after reading what has been received meanwhile. A client whose
+     * request crosses the close can conclude that the request was not read, and repeat it. A new connection
+     * is left open for the time in which a client normally sends its first request.
      */
-    void endIfResting(long now) {
-        if (!asked && now - connectedAt < limits.silenceBeforeEvictionMicros()) {
+    void closeIfIdle(long nowMicros) {
+        if (!hasSentRequest && nowMicros - connectedAtMicros < limits.silenceBeforeEvictionMicros()) {
             return;
         }
         link.readAvailable();
-        if (!leaving && !link.isClosed() && isBetween()) {
+        if (!lingering && !link.isClosed() && isBetweenRequests()) {
             close(CloseReason.SHUTDOWN);
         }
     }
 
     /**
-     * The last that is done for it: what it has sent a part of is refused, and read on like any other that was. One whose
-     * answer is due has it in the next round.
+     * The last step of a shutdown: closes an idle connection and refuses an incomplete request with status
+     * 503. A connection that waits for a response is left alone, since the response follows in the next
+     * round.
      */
-    void end() {
+    void closeUnlessResponsePending() {
         link.readAvailable();
-        if (answering || leaving || link.isClosed()) {
+        if (responsePending || lingering || link.isClosed()) {
             return;
         }
-        if (isBetween()) {
+        if (isBetweenRequests()) {
             close(CloseReason.SHUTDOWN);
         } else {
             refuse(503);
@@ -124,145 +148,156 @@
 
     @Override
     public void onBytesReceived() {
-        if (leaving) {
-            skipped += link.input.size();
+        if (lingering) {
+            discardedBytes += link.input.size();
             link.input.skip(link.input.size());
-            if (skipped > limits.maxLingerBytes()) {
-                // It had time to see its answer; reading all that some would send keeps the others waiting.
+            if (discardedBytes > limits.maxLingerBytes()) {
+                // The client had time to receive the response; reading unlimited input would delay the other
+                // clients.
                 close(CloseReason.REFUSED);
             }
             return;
         }
         try {
-            while (!answering && !leaving && !link.isClosed() && link.input.size() > 0) {
-                since = parser.isBeforeFirstByte() ? loop.nowMicros() : since;
+            while (!responsePending && !lingering && !link.isClosed() && link.input.size() > 0) {
+                lastActivityMicros = parser.isBeforeFirstByte() ? loop.nowMicros() : lastActivityMicros;
                 if (!parser.parse(link.input)) {
-                    sayContinue();
+                    sendContinue();
                     return;
                 }
-                answering = asked = true;
-                since = loop.nowMicros();
-                request();
+                responsePending = hasSentRequest = true;
+                lastActivityMicros = loop.nowMicros();
+                handleRequest();
             }
         } catch (HttpParseException fault) {
             refuse(fault.status);
         }
     }
 
-    private void sayContinue() {
-        if (!told && parser.isHeadComplete() && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
-            told = true;
-            link.write(CONTINUE);
+    private void sendContinue() {
+        if (!continueSent && parser.isHeadComplete()
+            && "100-continue".equalsIgnoreCase(parser.header("Expect"))) {
+            continueSent = true;
+            link.write(CONTINUE_RESPONSE);
         }
     }
 
     @Override
     public void onEndOfInput(boolean broken) {
-        if (!broken && leaving && !link.isAllWritten()) {
-            // It has ended its sending only, and may still read its answer; who doesn't is closed when its time is up.
+        if (!broken && lingering && !link.isAllWritten()) {
+            // The client ended only its sending direction and may still read the response; a timeout closes
+            // the connection if it does not.
             return;
         }
-        // A client ends its connection when it waits no longer: a request whose answer is due is then void.
+        // A client that ends its connection no longer waits: a request without a response is void.
         close(broken ? CloseReason.RESET_BY_PEER : CloseReason.CLOSED_BY_PEER);
     }
 
+    /** Closes the connection at once and informs the close handler. */
     void close(CloseReason reason) {
-        if (Log.tells(Event.CLIENT_CLOSED)) {
-            Log.tell(Event.CLIENT_CLOSED, reason, answering);
+        if (Log.isEnabled(Event.CLIENT_CLOSED)) {
+            Log.log(Event.CLIENT_CLOSED, reason, responsePending);
         }
         link.close();
-        left.accept(this);
+        closeHandler.accept(this);
     }
 
-    private void request() {
+    private void handleRequest() {
         String path = parser.target().split("\\?", 2)[0];
         if (path.equals("/health/ready") || path.equals("/health/live") || path.equals("/stats")) {
             if (!parser.method().equals("GET")) {
-                answer(HttpMessageBuilder.response(405).header("Allow", "GET"), new byte[0]);
+                respond(HttpMessageBuilder.response(405).header("Allow", "GET"), new byte[0]);
             } else if (path.equals("/stats")) {
-                answer(HttpMessageBuilder.response(200).header("Content-Type", "application/json"),
-                    intake.figures());
+                respond(HttpMessageBuilder.response(200).header("Content-Type", "application/json"),
+                    intake.statistics());
             } else {
-                answer(
+                respond(
                     HttpMessageBuilder.response(path.equals("/health/live") || intake.isReady() ? 200 : 503),
                     new byte[0]);
             }
             return;
         }
-        String offering = path.startsWith("/") ? path.substring(1).split("/", 2)[0] : "";
-        if (!intake.knows(offering)) {
-            answer(404);
+        String messageClass = path.startsWith("/") ? path.substring(1).split("/", 2)[0] : "";
+        if (!intake.isKnownClass(messageClass)) {
+            respondWithError(404);
         } else if (!parser.method().equals("POST")) {
-            answer(HttpMessageBuilder.response(405).header("Allow", "POST"), new byte[0]);
+            respond(HttpMessageBuilder.response(405).header("Allow", "POST"), new byte[0]);
         } else {
-            envelope(offering);
+            submitMessage(messageClass);
         }
     }
 
-    private void envelope(String offering) {
+    private void submitMessage(String messageClass) {
         String id = parser.header("Request-Id");
-        long within = Fields.micros(parser.header("Request-Timeout"));
-        String destination = Fields.destination(parser.header("X-Addressing"));
-        if (id == null || id.isEmpty() || id.length() > limits.maxIdLength() || within < 0
+        long timeoutMicros = HeaderFields.parseMicros(parser.header("Request-Timeout"));
+        String destination = HeaderFields.parseDestination(parser.header("X-Addressing"));
+        if (id == null || id.isEmpty() || id.length() > limits.maxIdLength() || timeoutMicros < 0
             || destination == null) {
-            answer(400);
+            respondWithError(400);
             return;
         }
-        intake.handIn(id, offering, parser.header("Tenant"), parser.header("Affinity-Key"),
+        intake.submit(id, messageClass, parser.header("Tenant"), parser.header("Affinity-Key"),
             parser.header("Idempotency-Key"),
-            destination, within, parser.removeBody(), new MessageIntake.Reply() {
+            destination, timeoutMicros, parser.removeBody(), new MessageIntake.Reply() {
                 @Override
-                public boolean with(int status, long pause) {
-                    HttpMessageBuilder answer = HttpMessageBuilder.response(status);
-                    if (pause > 0) {
-                        answer.header("Retry-After", Fields.seconds(pause));
+                public boolean send(int status, long retryAfterMicros) {
+                    HttpMessageBuilder response = HttpMessageBuilder.response(status);
+                    if (retryAfterMicros > 0) {
+                        response.header("Retry-After", HeaderFields.formatSeconds(retryAfterMicros));
                     }
-                    answer(answer, new byte[0]);
+                    respond(response, new byte[0]);
                     return !link.isClosed();
                 }
 
                 @Override
-                public boolean clientLeft() {
+                public boolean isClientGone() {
                     return link.isClosed() || link.isInputEnded();
                 }
             });
     }
 
-    private void answer(int status) {
-        Log.tell(Event.CLIENT_REFUSED, status);
-        answer(HttpMessageBuilder.response(status), new byte[0]);
+    private void respondWithError(int status) {
+        Log.log(Event.CLIENT_REFUSED, status);
+        respond(HttpMessageBuilder.response(status), new byte[0]);
     }
 
-    private void answer(HttpMessageBuilder answer, byte[] body) {
+    private void respond(HttpMessageBuilder response, byte[] body) {
         if (link.isClosed()) {
             return;
         }
-        boolean last = !parser.isKeepAlive() || intake.isClosing();
-        if (last) {
-            answer.header("Connection", "close");
+        boolean isLastResponse = !parser.isKeepAlive() || intake.isClosing();
+        if (isLastResponse) {
+            response.header("Connection", "close");
         }
-        link.write(answer.build(body));
-        answering = told = false;
-        since = loop.nowMicros();
+        link.write(response.build(body));
+        responsePending = continueSent = false;
+        lastActivityMicros = loop.nowMicros();
         parser.startNextMessage();
-        if (last) {
-            leave();
+        if (isLastResponse) {
+            startLingering();
         } else if (link.input.size() > 0) {
             loop.thread().execute(this::onBytesReceived);
         }
         link.resumeReading();
     }
 
+    /**
+     * Sends an error response to a request that is invalid or incomplete; the connection can't be used after
+     * that.
+     */
     private void refuse(int status) {
-        Log.tell(Event.CLIENT_REFUSED, status);
+        Log.log(Event.CLIENT_REFUSED, status);
         link.write(HttpMessageBuilder.response(status).header("Connection", "close").buildWithEmptyBody());
-        leave();
+        startLingering();
     }
 
-    /** Reads on for a moment: closing at once on unread bytes would take the answer back off the wire. */
-    private void leave() {
-        leaving = true;
-        since = loop.nowMicros();
+    /**
+     * Ends the sending direction and reads on for a while. Closing the connection while received bytes are
+     * unread would reset it, and the client could lose the response.
+     */
+    private void startLingering() {
+        lingering = true;
+        lastActivityMicros = loop.nowMicros();
         link.input.skip(link.input.size());
         link.shutdownOutput();
         link.resumeReading();
--- a/relay/src/main/java/yewpath/ledger/Ledger.java
+++ b/relay/src/main/java/yewpath/ledger/Ledger.java
@@ -73,7 +73,7 @@
         file = new LedgerFile(folder);
         long incompleteBytes = file.replay(this::restore);
         if (incompleteBytes > 0) {
-            Log.tell(Event.LEDGER_TORN, incompleteBytes);
+            Log.log(Event.LEDGER_TRUNCATED, incompleteBytes);
         }
         adoptEntries(now);
         rewrite();
@@ -242,7 +242,7 @@
         try {
             file.replace(records::iterator);
             if (bytesBefore > 0) {
-                Log.tell(Event.LEDGER_COMPACTED, bytesBefore, file.length(), entries.size(),
+                Log.log(Event.LEDGER_COMPACTED, bytesBefore, file.length(), entries.size(),
                     (System.nanoTime() - startNanos) / 1_000_000);
             }
             writeSucceeded();
@@ -255,14 +255,14 @@
         pending.clear();
         pendingBytes = 0;
         if (!writable) {
-            Log.tell(Event.LEDGER_RECOVERED, entries.size());
+            Log.log(Event.LEDGER_RECOVERED, entries.size());
         }
         writable = true;
     }
 
     private void writeFailed(IOException e) {
         if (writable) {
-            Log.tell(Event.LEDGER_FAILED, e);
+            Log.log(Event.LEDGER_FAILED, e);
         }
         writable = false;
     }
@@ -280,7 +280,7 @@
      */
     public void checkFileReplaced() {
         if (writable && !file.isInPlace()) {
-            Log.tell(Event.LEDGER_REPLACED, entries.size());
+            Log.log(Event.LEDGER_REPLACED, entries.size());
             file.close();
             writable = false;
         }
--- a/relay/src/main/java/yewpath/loop/EventLoop.java
+++ b/relay/src/main/java/yewpath/loop/EventLoop.java
@@ -103,7 +103,7 @@
         try {
             action.run();
         } catch (RuntimeException | Error failure) {
-            Log.tell(Event.RELAY_FAULT, failure);
+            Log.log(Event.RELAY_ERROR, failure);
         }
     }
 
--- a/relay/src/main/java/yewpath/loop/Limits.java
+++ b/relay/src/main/java/yewpath/loop/Limits.java
@@ -1,13 +1,13 @@
 package yewpath.loop;
 
 import java.util.function.ToDoubleFunction;
-import yewpath.operator.Catalogue;
-import yewpath.operator.Operator;
+import yewpath.operator.OperatorKeys;
+import yewpath.operator.OperatorSettings;
 
 /**
  * The limits on sizes, counts and times of the network code and the ledger. They are computed at the start,
  * and again when the operator's file has changed. A limit that is read only once, when something is created,
- * changes only with a restart: {@link Catalogue} tells for which keys that is so. Times are in microseconds,
+ * changes only with a restart: {@link OperatorKeys} tells for which keys that is so. Times are in microseconds,
  * sizes in bytes.
  */
 public final class Limits {
@@ -44,7 +44,7 @@
      * of 10 s
      */
     public Limits(ToDoubleFunction<String> platformLimits, long connectTimeoutMicros,
-        long connectionIdleMicros, Operator operator) {
+        long connectionIdleMicros, OperatorSettings operator) {
         this.platformLimits = platformLimits;
         this.connectTimeoutMicros = connectTimeoutMicros;
         this.connectionIdleMicros = connectionIdleMicros;
@@ -55,54 +55,61 @@
      * Computes all limits from the operator's settings and the limits of the platform; called on the I/O
      * thread.
      */
-    public void update(Operator operator) {
+    public void update(OperatorSettings operator) {
         int sockets = Math.max(3, (int) platformLimit("sockets", DEFAULT_SOCKETS) - RESERVED_DESCRIPTORS);
         long heapBytes = Runtime.getRuntime().maxMemory();
         double diskBytes = platformLimit("disk_mb", DEFAULT_DISK_MIB) * BYTES_PER_MIB;
         long endpointIdleMicros = connectionIdleMicros > 0 ? connectionIdleMicros : 10 * SECOND_MICROS;
-        int ringBytes = (int) operator.figure(Catalogue.RING_MOST);
-        int bodyBytes = (int) operator.figure(Catalogue.CLIENT_BODY);
+        int ringBytes = (int) operator.number(OperatorKeys.BUFFER_MAX_BYTES);
+        int bodyBytes = (int) operator.number(OperatorKeys.CLIENT_MAX_BODY_BYTES);
         values = new Values(
             // Active clients use at most a third of all descriptors; the rest of their share is for silent
             // connections. Two fifths are enough for endpoints, because a further call closes the connection
             // that is idle longest. Each client connection may hold a ring buffer and a body; all of them
             // together must fit into the heap.
-            (int) operator.figureOr(Catalogue.CLIENT_LINKS,
+            (int) operator.numberOr(OperatorKeys.CLIENT_CONNECTIONS,
                 Math.max(1, Math.min(sockets * 3 / 5, heapBytes / 5 * 2 / (ringBytes + bodyBytes)))),
-            (int) operator.figure(Catalogue.CLIENT_ACCEPT_AHEAD),
-            (int) operator.figureOr(Catalogue.ENDPOINT_LINKS, Math.max(1, sockets * 2 / 5)),
-            (int) operator.figure(Catalogue.CLIENT_BACKLOG),
-            (int) operator.figure(Catalogue.RING_FIRST), ringBytes,
-            (int) operator.figure(Catalogue.CLIENT_HEAD), bodyBytes,
-            (int) operator.figure(Catalogue.CLIENT_ID), (int) operator.figure(Catalogue.LINE_MOST),
+            (int) operator.number(OperatorKeys.CLIENT_ACCEPT_AHEAD),
+            (int) operator.numberOr(OperatorKeys.ENDPOINT_CONNECTIONS, Math.max(1, sockets * 2 / 5)),
+            (int) operator.number(OperatorKeys.CLIENT_BACKLOG),
+            (int) operator.number(OperatorKeys.BUFFER_INITIAL_BYTES), ringBytes,
+            (int) operator.number(OperatorKeys.CLIENT_MAX_HEAD_BYTES), bodyBytes,
+            (int) operator.number(OperatorKeys.CLIENT_MAX_ID_LENGTH),
+            (int) operator.number(OperatorKeys.DISCOVERY_MAX_LINE_BYTES),
             // The ledger is compacted when it fills more than half of the disk space. At most 0.4 of the
             // space belongs to live messages then, so the old and the new file fit at the same time.
-            (long) (operator.part(Catalogue.LEDGER_LIVE) * diskBytes),
-            (long) (operator.part(Catalogue.LEDGER_ANEW) * diskBytes),
-            (int) operator.figure(Catalogue.LEDGER_ASIDE),
+            (long) (operator.fraction(OperatorKeys.LEDGER_LIVE_FRACTION) * diskBytes),
+            (long) (operator.fraction(OperatorKeys.LEDGER_COMPACTION_FRACTION) * diskBytes),
+            (int) operator.number(OperatorKeys.LEDGER_RESERVED_BYTES),
             // A client must see an error or a closed connection within 3 s of connecting, but may be silent
             // for 2 s.
-            operator.figure(Catalogue.CLIENT_REQUEST), operator.figure(Catalogue.CLIENT_IDLE),
-            operator.figure(Catalogue.CLIENT_SILENT),
-            operator.figure(Catalogue.CLIENT_IDLE_LEAST), operator.figure(Catalogue.CLIENT_SPEECH),
-            operator.figure(Catalogue.CLIENT_LINGER), (int) operator.figure(Catalogue.CLIENT_LINGER_MOST),
-            operator.figure(Catalogue.CLIENT_SWEEP),
+            operator.number(OperatorKeys.CLIENT_REQUEST_TIMEOUT),
+            operator.number(OperatorKeys.CLIENT_IDLE_TIMEOUT),
+            operator.number(OperatorKeys.CLIENT_FIRST_BYTE_TIMEOUT),
+            operator.number(OperatorKeys.CLIENT_EVICTABLE_IDLE_TIME),
+            operator.number(OperatorKeys.CLIENT_EVICTABLE_SILENT_TIME),
+            operator.number(OperatorKeys.CLIENT_LINGER_TIME),
+            (int) operator.number(OperatorKeys.CLIENT_MAX_LINGER_BYTES),
+            operator.number(OperatorKeys.CLIENT_SWEEP_INTERVAL),
             connectTimeoutMicros > 0 ? connectTimeoutMicros : SECOND_MICROS,
             // Closes an idle connection before the endpoint does, by a margin for a busy machine and network
             // delay.
             endpointIdleMicros - Math.min(SECOND_MICROS, endpointIdleMicros / 8),
             // An endpoint writes a response in one piece, even when the response is late.
-            operator.figure(Catalogue.ENDPOINT_REST),
+            operator.number(OperatorKeys.ENDPOINT_RESPONSE_COMPLETION_TIMEOUT),
             // Discovery sends something every 2 s unless it is down, and assumes that a change is known 6 s
             // later. The silence timeout and the maximum retry delay together must stay below these 6 s.
-            operator.figure(Catalogue.WATCH_SILENCE), operator.figure(Catalogue.RETRY_FIRST),
-            operator.figure(Catalogue.RETRY_MOST),
+            operator.number(OperatorKeys.DISCOVERY_SILENCE_TIMEOUT),
+            operator.number(OperatorKeys.DISCOVERY_MIN_RETRY_DELAY),
+            operator.number(OperatorKeys.DISCOVERY_MAX_RETRY_DELAY),
             // A notice that gets no prompt response is sent again while it can still arrive in time.
-            operator.figure(Catalogue.NOTICE_WITHIN), (int) operator.figure(Catalogue.NOTICES_AT_ONCE),
+            operator.number(OperatorKeys.NOTICE_TIMEOUT),
+            (int) operator.number(OperatorKeys.NOTICE_MAX_BATCH_SIZE),
             // A relay has 3.5 s from SIGTERM to its end. Attempts start only in the first part of that time,
             // so that most of them complete.
-            operator.figure(Catalogue.DRAIN_FRESH), operator.figure(Catalogue.DRAIN_MOST),
-            operator.figure(Catalogue.DRAIN_LEAST));
+            operator.number(OperatorKeys.SHUTDOWN_ATTEMPT_PERIOD),
+            operator.number(OperatorKeys.SHUTDOWN_MAX_DURATION),
+            operator.number(OperatorKeys.SHUTDOWN_MIN_DURATION));
     }
 
     private double platformLimit(String name, double defaultValue) {
--- a/relay/src/main/java/yewpath/outcome/NoticeSender.java
+++ b/relay/src/main/java/yewpath/outcome/NoticeSender.java
@@ -13,7 +13,7 @@
 import yewpath.http.HttpMessageBuilder;
 import yewpath.http.HttpParser;
 import yewpath.http.OutboundConnection;
-import yewpath.json.Tokens;
+import yewpath.json.Json;
 import yewpath.ledger.LedgerEntry;
 import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
@@ -100,7 +100,7 @@
             connection = new OutboundConnection(loop, limits, platform, limits.maxBodyBytes());
         }
         byte[] request = HttpMessageBuilder.request("POST", "/v1/outcomes", platform)
-            .header("Content-Type", "application/json").build(Tokens.write(out -> {
+            .header("Content-Type", "application/json").build(Json.write(out -> {
                 for (LedgerEntry entry : batch) {
                     writeNotice(out, entry);
                 }
@@ -147,7 +147,7 @@
             return;
         }
         if (status == 400) {
-            Log.tell(Event.NOTICE_REFUSED, batch.get(0).id);
+            Log.log(Event.NOTICE_REFUSED, batch.get(0).id);
         }
         maxBatchSize = limits.maxNoticesPerRequest();
         inFlightCount = 0;
@@ -165,7 +165,7 @@
         }
         backoffMicros = Math.min(limits.maxRetryDelayMicros(),
             Math.max(limits.initialRetryDelayMicros(), 2 * backoffMicros));
-        Log.tell(Event.NOTICE_UNHEARD, batch.size(), backoffMicros / 1000);
+        Log.log(Event.NOTICE_UNACKNOWLEDGED, batch.size(), backoffMicros / 1000);
         retryTimer = loop.schedule(backoffMicros, this::retry);
     }
 
