--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -2,9 +2,9 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.Stand.OK;
-import static yewpath.Stand.SILENCE;
-import static yewpath.Stand.until;
+import static yewpath.RelayFixture.OK;
+import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -124,26 +124,26 @@
 
     @Test
     public void whatHasNotLeftInItsTimeIsTakenBack() throws Exception {
-        try (Stand.Deaf deaf = new Stand.Deaf()) {
+        try (RelayFixture.UnresponsiveServer deaf = new RelayFixture.UnresponsiveServer()) {
             Attempt cargo = new Attempt("late", 20_000_000, 300_000);
             send(cargo, at(deaf.address()));
-            until("it is taken back, its connection not up yet", 1_500, () -> cargo.outcomes.size() == 1);
+            waitUntil("it is taken back, its connection not up yet", 1_500, () -> cargo.outcomes.size() == 1);
             assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
         }
     }
 
     @Test
     public void aCallThatCannotBePutTogetherEndsAsNotSent() throws Exception {
-        try (Stand.Server endpoint = new Stand.Server(got -> OK)) {
+        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(got -> OK)) {
             Attempt cargo = new Attempt("faulty", 20_000_000, 20_000_000);
             cargo.body = null;
             send(cargo, at(endpoint.address()));
-            until("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
+            waitUntil("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
             assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
             assertEquals(delivery.callsOut(), 0);
             Attempt next = new Attempt("next", 20_000_000, 20_000_000);
             send(next, at(endpoint.address()));
-            until("the next goes as ever", 2_000,
+            waitUntil("the next goes as ever", 2_000,
                 () -> next.outcomes.equals(List.of(PolicyActions.DELIVERED)));
         }
     }
@@ -151,10 +151,10 @@
     /** The thread is held from before the answer until after the envelope's time: the timer rings before the socket is read. */
     @Test
     public void anAnswerThatLiesInTheSocketAtTheExpiryCounts() throws Exception {
-        try (Stand.Server endpoint = new Stand.Server(got -> SILENCE)) {
+        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(got -> NO_RESPONSE)) {
             Attempt cargo = new Attempt("just", 2_500_000, 2_500_000);
             send(cargo, at(endpoint.address()));
-            until("it is out", 2_000, () -> endpoint.got.size() == 1);
+            waitUntil("it is out", 2_000, () -> endpoint.requests.size() == 1);
             CountDownLatch held = new CountDownLatch(1);
             loop.thread().execute(() -> {
                 try {
@@ -162,11 +162,11 @@
                 } catch (IOException e) {
                     cargo.outcomes.add(100);
                 }
-                Stand.pause(Math.max(1, (cargo.expiry - loop.nowMicros()) / 1000 + 20));
+                RelayFixture.pause(Math.max(1, (cargo.expiry - loop.nowMicros()) / 1000 + 20));
                 held.countDown();
             });
             assertTrue(held.await(5, TimeUnit.SECONDS));
-            until("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
+            waitUntil("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
             assertEquals(cargo.outcomes, List.of(PolicyActions.DELIVERED));
         }
     }
@@ -176,16 +176,16 @@
     public void aCopyThatCallsAMessageBusyIsNotTheAnswerToItsNextAttempt() throws Exception {
         String first = bulkAnswer("[{\"id\":\"a\",\"state\":\"done\"},{\"id\":\"b\",\"state\":\"busy\"}]");
         String second = bulkAnswer("[{\"id\":\"b\",\"state\":\"done\"},{\"id\":\"c\",\"state\":\"done\"}]");
-        try (Stand.Server endpoint = new Stand.Server(got -> first)) {
-            endpoint.answer = got -> got.body.contains("\"a\"") ? first
-                : got.connection == 1 ? first + second : second;
+        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(got -> first)) {
+            endpoint.responder = got -> got.body.contains("\"a\"") ? first
+                : got.connectionNumber == 1 ? first + second : second;
             Attempt a = new Attempt("a", 20_000_000, 20_000_000);
             Attempt b = new Attempt("b", 20_000_000, 20_000_000);
             Attempt c = new Attempt("c", 20_000_000, 20_000_000);
             sendTogether(at(endpoint.address()), a, b);
-            until("one is refused", 2_000, () -> b.outcomes.equals(List.of(PolicyActions.OVERLOADED)));
+            waitUntil("one is refused", 2_000, () -> b.outcomes.equals(List.of(PolicyActions.OVERLOADED)));
             sendTogether(at(endpoint.address()), b, c);
-            until("both are delivered", 2_000, () -> c.outcomes.size() == 1);
+            waitUntil("both are delivered", 2_000, () -> c.outcomes.size() == 1);
             assertEquals(b.outcomes, List.of(PolicyActions.OVERLOADED, PolicyActions.DELIVERED));
             assertEquals(c.outcomes, List.of(PolicyActions.DELIVERED));
         }
@@ -202,7 +202,7 @@
             try (Socket peer = listener.accept()) {
                 assertTrue(peer.getInputStream().read() >= 0);
                 peer.getOutputStream().write(OK.getBytes(StandardCharsets.ISO_8859_1));
-                until("it has its end", 3_000, () -> cargo.outcomes.size() == 1);
+                waitUntil("it has its end", 3_000, () -> cargo.outcomes.size() == 1);
                 assertEquals(cargo.outcomes, List.of(PolicyActions.UNREACHABLE));
             }
         }
@@ -275,7 +275,7 @@
             CountDownLatch isIn = new CountDownLatch(1);
             CountDownLatch written = new CountDownLatch(1);
             // The head has been read by then: it has come before, and this thread serves it first.
-            Stand.pause(200);
+            RelayFixture.pause(200);
             loop.thread().execute(() -> {
                 isIn.countDown();
                 try {
@@ -288,7 +288,7 @@
             assertTrue(isIn.await(5, TimeUnit.SECONDS));
             out.write(new byte[50_000]);
             written.countDown();
-            assertEquals(Stand.answer(client).status(), 503);
+            assertEquals(RelayFixture.readResponse(client).status(), 503);
             assertEquals(client.getInputStream().read(), -1, "a reset");
             // Closed over unread bytes the connection is reset, which a client that still writes meets first. The channel
             // goes as its thread selects the next time: it has once a second task has run.
--- a/relay/src/test/java/yewpath/CopyingEndpoint.java
+++ b/relay/src/test/java/yewpath/CopyingEndpoint.java
@@ -1,6 +1,6 @@
 package yewpath;
 
-import static yewpath.Stand.OK;
+import static yewpath.RelayFixture.OK;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -20,26 +20,27 @@
 import java.util.stream.Collectors;
 
 /** Works for a while, answers as the seed has it, and sends copies of its earlier answers. */
-final class CopyingEndpoint implements Function<Stand.Got, String> {
-    static final String BUSY = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
+final class CopyingEndpoint implements Function<RelayFixture.ReceivedRequest, String> {
+    static final String SERVICE_UNAVAILABLE = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
     private static final Pattern ITEM = Pattern.compile("\"id\":\"([^\"]+)\"");
-    private static final List<String> REFUSALS = List.of(BUSY,
+    private static final List<String> REFUSALS = List.of(SERVICE_UNAVAILABLE,
         "HTTP/1.1 429 X\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n");
 
     private final Map<Integer, List<String>> answers = new ConcurrentHashMap<>();
     private final MessageRules rules;
     private final Random random;
-    private Stand.Server server;
+    private RelayFixture.StubServer server;
 
     private CopyingEndpoint(long seed, MessageRules rules) {
         random = new Random(seed);
         this.rules = rules;
     }
 
-    static void listed(Stand stand, String name, int destination, String kind, long seed, MessageRules rules)
+    static void addTo(RelayFixture fixture, String name, int destination, String kind, long seed,
+        MessageRules rules)
         throws IOException {
         CopyingEndpoint endpoint = new CopyingEndpoint(seed, rules);
-        endpoint.server = stand.endpoint(name, destination, kind, endpoint);
+        endpoint.server = fixture.addEndpoint(name, destination, kind, endpoint);
     }
 
     private synchronized int draw(int bound) {
@@ -47,48 +48,48 @@
     }
 
     @Override
-    public String apply(Stand.Got got) {
-        List<String> ids = ids(got);
-        boolean isBulk = got.line.contains("bulk");
+    public String apply(RelayFixture.ReceivedRequest got) {
+        List<String> ids = messageIds(got);
+        boolean isBulk = got.requestLine.contains("bulk");
         boolean refusesAll = draw(4) == 0;
         Map<String, String> states = new LinkedHashMap<>();
         for (String id : ids) {
             boolean refuses = refusesAll || isBulk && draw(4) == 0;
             states.put(id, refuses ? "busy" : "done");
-            rules.begins(id, refuses);
+            rules.attemptStarted(id, refuses);
         }
         copy(got);
         boolean open = staysOpen(server, got, 1 + draw(60));
         copy(got);
-        ids.forEach(rules::ends);
+        ids.forEach(rules::attemptEnded);
         if (!open) {
-            return Stand.CUT;
+            return RelayFixture.CLOSE_CONNECTION;
         }
         String answer = refusesAll ? REFUSALS.get(draw(2))
-            : isBulk ? bulkAnswer(states) : draw(2) == 0 ? OK : Stand.distinctOk();
-        answers.computeIfAbsent(got.connection, any -> new CopyOnWriteArrayList<>()).add(answer);
+            : isBulk ? bulkResponse(states) : draw(2) == 0 ? OK : RelayFixture.uniqueOk();
+        answers.computeIfAbsent(got.connectionNumber, any -> new CopyOnWriteArrayList<>()).add(answer);
         states.forEach((id, state) -> {
             if (state.equals("done")) {
-                rules.delivers(id);
+                rules.messageDelivered(id);
             }
         });
         return draw(6) == 0 ? answer + answer : answer;
     }
 
-    private void copy(Stand.Got got) {
-        List<String> earlier = answers.getOrDefault(got.connection, List.of());
+    private void copy(RelayFixture.ReceivedRequest got) {
+        List<String> earlier = answers.getOrDefault(got.connectionNumber, List.of());
         if (!earlier.isEmpty() && draw(2) == 0) {
             try {
-                write(server, got, earlier.get(draw(earlier.size())));
+                writeRaw(server, got, earlier.get(draw(earlier.size())));
             } catch (UncheckedIOException closed) {
                 return;
             }
         }
     }
 
-    static void write(Stand.Server server, Stand.Got got, String bytes) {
+    static void writeRaw(RelayFixture.StubServer server, RelayFixture.ReceivedRequest got, String bytes) {
         try {
-            server.sockets.get(got.connection - 1).getOutputStream()
+            server.sockets.get(got.connectionNumber - 1).getOutputStream()
                 .write(bytes.getBytes(StandardCharsets.ISO_8859_1));
         } catch (IOException closed) {
             throw new UncheckedIOException(closed);
@@ -96,8 +97,8 @@
     }
 
     /** Whether the relay leaves the connection open for this long. */
-    static boolean staysOpen(Stand.Server server, Stand.Got got, int millis) {
-        Socket socket = server.sockets.get(got.connection - 1);
+    static boolean staysOpen(RelayFixture.StubServer server, RelayFixture.ReceivedRequest got, int millis) {
+        Socket socket = server.sockets.get(got.connectionNumber - 1);
         try {
             socket.setSoTimeout(millis);
             return socket.getInputStream().read() >= 0;
@@ -117,7 +118,7 @@
         }
     }
 
-    static List<String> ids(Stand.Got got) {
+    static List<String> messageIds(RelayFixture.ReceivedRequest got) {
         if (got.id() != null) {
             return List.of(got.id());
         }
@@ -128,7 +129,7 @@
         return ids;
     }
 
-    static String bulkAnswer(Map<String, String> states) {
+    static String bulkResponse(Map<String, String> states) {
         String body = "[" + states.entrySet().stream()
             .map(one -> "{\"id\":\"" + one.getKey() + "\",\"state\":\"" + one.getValue() + "\"}")
             .collect(Collectors.joining(",")) + "]";
--- a/relay/src/test/java/yewpath/FaultShim.java
+++ b/relay/src/test/java/yewpath/FaultShim.java
@@ -19,13 +19,13 @@
     private long wallStep;
 
     /** Faults hit the files of the relay's folder; it has to be started after this. */
-    FaultShim(Stand stand) throws Exception {
+    FaultShim(RelayFixture fixture) throws Exception {
         build();
-        control = stand.folder.resolve("faults");
-        folder = stand.folder.resolve("state");
+        control = fixture.directory.resolve("faults");
+        folder = fixture.directory.resolve("state");
         write();
-        stand.environment.put("LD_PRELOAD", LIBRARY.toAbsolutePath().toString());
-        stand.environment.put("FAULT_CONTROL", control.toString());
+        fixture.environment.put("LD_PRELOAD", LIBRARY.toAbsolutePath().toString());
+        fixture.environment.put("FAULT_CONTROL", control.toString());
     }
 
     private static synchronized void build() throws Exception {
@@ -44,13 +44,13 @@
     }
 
     /** Calls by name, as {@code fault_shim.c} lists them; these replace the faults before them. */
-    void fail(String... calls) throws IOException {
+    void failSystemCalls(String... calls) throws IOException {
         faults = String.join("\n", calls);
         write();
     }
 
-    void heal() throws IOException {
-        fail();
+    void clearFaults() throws IOException {
+        failSystemCalls();
     }
 
     void stepWallClock(long seconds) throws IOException {
--- a/relay/src/test/java/yewpath/FaultSoakTest.java
+++ b/relay/src/test/java/yewpath/FaultSoakTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.Stand.until;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -23,7 +23,7 @@
  * Copies of answers, a folder that fails, kills, shutdowns, stops and steps of the wall clock, all drawn from a seed while
  * clients hand in messages. The scheduler adds to it: a seed plays the same plan, not the same interleaving.
  */
-public final class FaultSoakTest extends Stand.Tests {
+public final class FaultSoakTest extends RelayFixture.RelayTest {
     private static final int CLIENTS = 4;
     private static final int WITHIN_MS = 3_000;
     private static final long PLAY_NANOS = TimeUnit.SECONDS.toNanos(8);
@@ -56,7 +56,7 @@
     @Test(dataProvider = "seeds")
     public void mixedFaultsBreakNoRule(long seed) throws Exception {
         prepare(seed);
-        stand.start();
+        fixture.start();
         readyAt = System.nanoTime();
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -66,17 +66,17 @@
         clients.forEach(Thread::start);
         long until = System.nanoTime() + PLAY_NANOS;
         while (System.nanoTime() < until) {
-            Stand.pause(100 + random.nextInt(600));
+            RelayFixture.pause(100 + random.nextInt(600));
             playFault();
         }
         playing = false;
         for (Thread client : clients) {
             client.join();
         }
-        shim.heal();
-        until("each message has its end", 12_000, () -> ends.keySet().containsAll(deadlines.keySet()));
+        shim.clearFaults();
+        waitUntil("each message has its end", 12_000, () -> ends.keySet().containsAll(deadlines.keySet()));
         deadlines.forEach(this::checkEnd);
-        assertEquals(rules.broken, List.of(), "seed " + seed);
+        assertEquals(rules.violations, List.of(), "seed " + seed);
         assertTrue(deadlines.size() > 50, "only " + deadlines.size() + " taken on");
     }
 
@@ -86,26 +86,26 @@
         messages.set(0);
         rules = new MessageRules() {
             @Override
-            void delivers(String id) {
-                super.delivers(id);
+            void messageDelivered(String id) {
+                super.messageDelivered(id);
                 ends.putIfAbsent(id, System.nanoTime());
             }
         };
         random = new Random(seed);
-        shim = new FaultShim(stand);
-        stand.holdMost = 400;
-        stand.operator = "[log]\nlevel = \"debug\"\n";
-        stand.limits = ",\"disk_mb\":0.5";
-        CopyingEndpoint.listed(stand, "e1", 1, "plain", random.nextLong(), rules);
-        CopyingEndpoint.listed(stand, "e2", 2, "bundled", random.nextLong(), rules);
-        stand.onNotice = this::hearNotices;
+        shim = new FaultShim(fixture);
+        fixture.maxOpenMessages = 400;
+        fixture.operatorConfig = "[log]\nlevel = \"debug\"\n";
+        fixture.extraLimits = ",\"disk_mb\":0.5";
+        CopyingEndpoint.addTo(fixture, "e1", 1, "plain", random.nextLong(), rules);
+        CopyingEndpoint.addTo(fixture, "e2", 2, "bundled", random.nextLong(), rules);
+        fixture.noticeResponder = this::hearNotices;
         playing = true;
     }
 
-    private String hearNotices(Stand.Got got) {
+    private String hearNotices(RelayFixture.ReceivedRequest got) {
         for (Matcher notice = NOTICE.matcher(got.body); notice.find();) {
             if (notice.group(2).equals("handed_back") && !ends.containsKey(notice.group(1))) {
-                rules.handedBack(notice.group(1));
+                rules.messageRejected(notice.group(1));
             }
             ends.putIfAbsent(notice.group(1), System.nanoTime());
         }
@@ -114,13 +114,13 @@
 
     private void handIn(Random choices) {
         while (playing) {
-            try (Socket socket = stand.connect()) {
+            try (Socket socket = fixture.connect()) {
                 while (playing) {
                     handInOne(socket, choices);
-                    Stand.pause(5 + choices.nextInt(40));
+                    RelayFixture.pause(5 + choices.nextInt(40));
                 }
             } catch (IOException down) {
-                Stand.pause(20);
+                RelayFixture.pause(20);
             }
         }
     }
@@ -129,8 +129,10 @@
         int number = messages.incrementAndGet();
         String id = "m" + number;
         long at = System.nanoTime();
-        int status = Stand.ask(socket, Stand.envelope(id, number % 2 == 0 ? "order" : "status",
-            1 + choices.nextInt(2), WITHIN_MS, "x".repeat(choices.nextInt(2_000)))).status();
+        int status = RelayFixture
+            .exchange(socket, RelayFixture.messageRequest(id, number % 2 == 0 ? "order" : "status",
+                1 + choices.nextInt(2), WITHIN_MS, "x".repeat(choices.nextInt(2_000))))
+            .status();
         if (status == 202) {
             deadlines.put(id, at + TimeUnit.MILLISECONDS.toNanos(WITHIN_MS));
         } else {
@@ -139,28 +141,28 @@
     }
 
     private void playFault() throws Exception {
-        assertTrue(stand.process.isAlive(), "the relay ended by itself");
+        assertTrue(fixture.process.isAlive(), "the relay ended by itself");
         switch (random.nextInt(6)) {
             case 0, 1 -> {
-                shim.fail(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
-                Stand.pause(50 + random.nextInt(600));
-                assertTrue(stand.process.isAlive(), "the relay ended as its folder failed");
-                shim.heal();
+                shim.failSystemCalls(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
+                RelayFixture.pause(50 + random.nextInt(600));
+                assertTrue(fixture.process.isAlive(), "the relay ended as its folder failed");
+                shim.clearFaults();
             }
             case 2 -> {
-                stand.kill();
+                fixture.kill();
                 restart();
             }
             case 3 -> {
-                stand.signal("TERM");
-                stand.process.waitFor(3_700, TimeUnit.MILLISECONDS);
-                stand.kill();
+                fixture.signal("TERM");
+                fixture.process.waitFor(3_700, TimeUnit.MILLISECONDS);
+                fixture.kill();
                 restart();
             }
             case 4 -> {
-                stand.signal("STOP");
-                Stand.pause(150);
-                stand.signal("CONT");
+                fixture.signal("STOP");
+                RelayFixture.pause(150);
+                fixture.signal("CONT");
             }
             default -> shim.stepWallClock((random.nextInt(3) - 1) * HOUR);
         }
@@ -172,22 +174,22 @@
         }
         boolean folderFails = random.nextInt(3) == 0;
         if (folderFails) {
-            shim.fail(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
+            shim.failSystemCalls(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
         }
-        Stand.pause(random.nextInt(600));
-        stand.launch();
+        RelayFixture.pause(random.nextInt(600));
+        fixture.startProcess();
         if (folderFails) {
-            Stand.pause(300 + random.nextInt(1_500));
-            shim.heal();
+            RelayFixture.pause(300 + random.nextInt(1_500));
+            shim.clearFaults();
         }
-        until("it is ready again", 10_000, () -> stand.isReady());
+        waitUntil("it is ready again", 10_000, () -> fixture.isReady());
         readyAt = System.nanoTime();
     }
 
     private void checkEnd(String id, long deadline) {
         long late = ends.get(id) - Math.max(deadline + END_SLACK_NANOS, readyAt + RESTART_SLACK_NANOS);
         if (late > 0) {
-            rules.broken.add(id + " had its end " + TimeUnit.NANOSECONDS.toMillis(late) + " ms late");
+            rules.violations.add(id + " had its end " + TimeUnit.NANOSECONDS.toMillis(late) + " ms late");
         }
     }
 }
--- a/relay/src/test/java/yewpath/FaultsTest.java
+++ b/relay/src/test/java/yewpath/FaultsTest.java
@@ -90,7 +90,7 @@
 
     private void play(long length, int killAfterMs) throws Exception {
         String at = platform.openWithEndpoints(endpoints);
-        List<String> command = new ArrayList<>(Stand.yewpath().command());
+        List<String> command = new ArrayList<>(RelayFixture.yewpathCommand().command());
         try (RelayProcess relay = new RelayProcess(command, at, 0, OFFERINGS,
             RelayConfig.RelaySettings.DEFAULT, List.of())) {
             Client client = new Client(reactor, accounts, relay.address);
@@ -99,12 +99,14 @@
                 next(client, reactor.nowMicros() + 2 * length);
             });
             if (killAfterMs > 0) {
-                Stand.pause(killAfterMs);
+                RelayFixture.pause(killAfterMs);
                 relay.kill();
                 relay.start();
             }
-            Stand.until("all handed in", 15_000, () -> reactor.call(() -> handedIn) >= length / 5_000);
-            Stand.until("each has its end", 15_000, () -> reactor.call(() -> accounts.openCount()) == 0);
+            RelayFixture.waitUntil("all handed in", 15_000,
+                () -> reactor.call(() -> handedIn) >= length / 5_000);
+            RelayFixture.waitUntil("each has its end", 15_000,
+                () -> reactor.call(() -> accounts.openCount()) == 0);
             assertEquals(relay.terminate(), 0);
         }
         reactor.call(() -> {
--- a/relay/src/test/java/yewpath/MessageRules.java
+++ b/relay/src/test/java/yewpath/MessageRules.java
@@ -8,7 +8,7 @@
 
 /** What all endpoints together saw of each message, and the rules that were broken. Even numbers may run once only. */
 class MessageRules {
-    final List<String> broken = new CopyOnWriteArrayList<>();
+    final List<String> violations = new CopyOnWriteArrayList<>();
     final Set<String> delivered = ConcurrentHashMap.newKeySet();
     final Set<String> refusedToClients = ConcurrentHashMap.newKeySet();
     private final Set<String> ran = ConcurrentHashMap.newKeySet();
@@ -19,29 +19,29 @@
     }
 
     /** An attempt has been read; it runs unless it is refused. */
-    void begins(String id, boolean refused) {
+    void attemptStarted(String id, boolean refused) {
         if (out.merge(id, 1, Integer::sum) > 1) {
-            broken.add(id + " was out twice at once");
+            violations.add(id + " was out twice at once");
         }
         if (refusedToClients.contains(id)) {
-            broken.add(id + " was sent though its client was refused");
+            violations.add(id + " was sent though its client was refused");
         }
         if (isOnceOnly(id) && (refused ? ran.contains(id) : !ran.add(id))) {
-            broken.add(id + " was sent again after it had run");
+            violations.add(id + " was sent again after it had run");
         }
     }
 
-    void delivers(String id) {
+    void messageDelivered(String id) {
         delivered.add(id);
     }
 
-    void ends(String id) {
+    void attemptEnded(String id) {
         out.merge(id, -1, Integer::sum);
     }
 
-    void handedBack(String id) {
+    void messageRejected(String id) {
         if (isOnceOnly(id) && ran.contains(id)) {
-            broken.add(id + " was handed back though it had run");
+            violations.add(id + " was handed back though it had run");
         }
     }
 }
--- a/relay/src/test/java/yewpath/MoveTest.java
+++ b/relay/src/test/java/yewpath/MoveTest.java
@@ -59,7 +59,7 @@
         endpoint("returning", 3, 60, "south", "0 s: answer 200 after 5 ms to 15 ms\n1500 ms - 3 s: refuse",
             platform);
         String at = platform.openWithEndpoints(endpoints);
-        List<String> command = Stand.yewpath().command();
+        List<String> command = RelayFixture.yewpathCommand().command();
         Topology shape = new Topology("none", List.of("north", "south"), List.of(0.06, 0.0), "south", 0.03);
         try (RelayProcess old = new RelayProcess(command, at, 0, OFFERINGS, OLD, List.of());
             RelayProcess moved = new RelayProcess(command, at, 0, OFFERINGS, NEW, shape, List.of())) {
--- a/relay/src/test/java/yewpath/Stand.java
+++ b/relay/src/test/java/yewpath/RelayFixture.java
@@ -26,43 +26,43 @@
 import org.testng.annotations.BeforeMethod;
 
 /** A relay in a process of its own, among stand-ins for clients, endpoints and the platform. */
-final class Stand implements AutoCloseable {
+final class RelayFixture implements AutoCloseable {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     /** The relay's own address: no stand-in can be given a port that a relay is to come back to. */
-    static final String RELAY = "127.0.0.2";
+    static final String RELAY_ADDRESS = "127.0.0.2";
     private static final AtomicInteger ANSWERS = new AtomicInteger();
     /** Answers of a stand-in that are not bytes. */
-    static final String SILENCE = "silence", CUT = "cut";
+    static final String NO_RESPONSE = "silence", CLOSE_CONNECTION = "cut";
 
     /** Tests with a stand of their own each. */
-    abstract static class Tests {
-        Stand stand;
+    abstract static class RelayTest {
+        RelayFixture fixture;
 
         @BeforeMethod
         public void build() throws Exception {
-            stand = new Stand();
+            fixture = new RelayFixture();
         }
 
         @AfterMethod(alwaysRun = true)
         public void stop() throws Exception {
-            stand.close();
+            fixture.close();
         }
     }
 
     /** One request as a stand-in read it; {@code open} turns false once the relay has closed the connection. */
-    static final class Got {
-        final String line;
+    static final class ReceivedRequest {
+        final String requestLine;
         final Map<String, String> headers;
         final String body;
-        final int connection;
-        final long at = System.nanoTime();
+        final int connectionNumber;
+        final long receivedAtNanos = System.nanoTime();
         volatile boolean open = true;
 
-        Got(String line, Map<String, String> headers, String body, int connection) {
-            this.line = line;
+        ReceivedRequest(String line, Map<String, String> headers, String body, int connection) {
+            this.requestLine = line;
             this.headers = headers;
             this.body = body;
-            this.connection = connection;
+            this.connectionNumber = connection;
         }
 
         String id() {
@@ -71,25 +71,25 @@
     }
 
     /** A success whose body no other answer has, so that its connection can be kept. */
-    static String distinctOk() {
+    static String uniqueOk() {
         String body = "answer " + ANSWERS.incrementAndGet();
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** A server that answers each request by a function of it, and keeps what it got. */
-    static final class Server implements AutoCloseable {
-        final List<Got> got = new CopyOnWriteArrayList<>();
+    static final class StubServer implements AutoCloseable {
+        final List<ReceivedRequest> requests = new CopyOnWriteArrayList<>();
         final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
         final AtomicInteger connections = new AtomicInteger();
-        volatile Function<Got, String> answer;
+        volatile Function<ReceivedRequest, String> responder;
         private final ServerSocket listener;
 
-        Server(Function<Got, String> answer) throws IOException {
-            this(answer, 0);
+        StubServer(Function<ReceivedRequest, String> responder) throws IOException {
+            this(responder, 0);
         }
 
-        Server(Function<Got, String> answer, int port) throws IOException {
-            this.answer = answer;
+        StubServer(Function<ReceivedRequest, String> responder, int port) throws IOException {
+            this.responder = responder;
             listener = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
             thread(() -> {
                 while (true) {
@@ -113,16 +113,16 @@
             try (socket) {
                 InputStream in = socket.getInputStream();
                 while (true) {
-                    Got request = read(in, number);
+                    ReceivedRequest request = readRequest(in, number);
                     if (request == null) {
                         return;
                     }
-                    got.add(request);
-                    String bytes = answer.apply(request);
-                    if (bytes.equals(CUT)) {
+                    requests.add(request);
+                    String bytes = responder.apply(request);
+                    if (bytes.equals(CLOSE_CONNECTION)) {
                         return;
                     }
-                    if (bytes.equals(SILENCE)) {
+                    if (bytes.equals(NO_RESPONSE)) {
                         int more = in.read();
                         request.open = more >= 0;
                         return;
@@ -133,11 +133,11 @@
             }
         }
 
-        List<Got> posts() {
-            return got.stream().filter(g -> g.line.startsWith("POST")).toList();
+        List<ReceivedRequest> postRequests() {
+            return requests.stream().filter(g -> g.requestLine.startsWith("POST")).toList();
         }
 
-        void cutAll() throws IOException {
+        void closeConnections() throws IOException {
             for (Socket socket : List.copyOf(sockets)) {
                 socket.close();
             }
@@ -146,12 +146,12 @@
         @Override
         public void close() throws IOException {
             listener.close();
-            cutAll();
+            closeConnections();
         }
     }
 
     /** Connects until the listener's queue is full and further connections stay silent. */
-    static List<Socket> fill(ServerSocket listener) throws IOException {
+    static List<Socket> fillBacklog(ServerSocket listener) throws IOException {
         List<Socket> filling = new ArrayList<>();
         for (boolean room = true; room;) {
             Socket socket = new Socket();
@@ -166,12 +166,12 @@
     }
 
     /** A server that never accepts: its queue is full, and further connections stay silent. */
-    static final class Deaf implements AutoCloseable {
+    static final class UnresponsiveServer implements AutoCloseable {
         private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         private final List<Socket> filling;
 
-        Deaf() throws IOException {
-            filling = fill(listener);
+        UnresponsiveServer() throws IOException {
+            filling = fillBacklog(listener);
         }
 
         String address() {
@@ -188,120 +188,120 @@
     }
 
     /** What a client got back. */
-    record Answer(int status, Map<String, String> headers, String body) {}
+    record Response(int status, Map<String, String> headers, String body) {}
 
-    final Path folder;
-    volatile Server discovery;
+    final Path directory;
+    volatile StubServer discovery;
     /**
      * The watches that are open, and every line told so far, which guards both: one that is being opened gets what was told
      * since it was asked for, as from a platform that knows versions. A line told in between used to reach nobody.
      */
     private final List<OutputStream> watches = new CopyOnWriteArrayList<>();
     private final List<String> told = new ArrayList<>();
-    final List<String> watched = new CopyOnWriteArrayList<>();
+    final List<String> watchRequests = new CopyOnWriteArrayList<>();
     final List<String> notices = new CopyOnWriteArrayList<>();
     /** Answers notices in place of {@code noticeStatus}; null for none. */
-    volatile Function<Got, String> onNotice;
+    volatile Function<ReceivedRequest, String> noticeResponder;
     /** 0 leaves notices without an answer. */
     volatile int noticeStatus = 204;
     /** What a watch starts with, and how many milliseconds after its head; below 0 it never answers. */
-    volatile String news = "";
-    volatile int newsAfter;
+    volatile String initialWatchData = "";
+    volatile int watchDelayMillis;
     /** The rest of what a watch starts with, and what is waited for before it. */
-    volatile String newsRest = "";
-    volatile Runnable beforeTheRest = () -> {};
+    volatile String remainingWatchData = "";
+    volatile Runnable beforeRemainingWatchData = () -> {};
     /** Whether a watch brings empty lines where nothing changes. */
-    volatile boolean beats = true;
-    private final Map<String, Server> endpoints = new LinkedHashMap<>();
+    volatile boolean watchKeepAlive = true;
+    private final Map<String, StubServer> endpoints = new LinkedHashMap<>();
     private final Map<String, String> entries = new LinkedHashMap<>();
-    String limits = "";
+    String extraLimits = "";
     /** Set for the relay beside its configuration. */
     final Map<String, String> environment = new LinkedHashMap<>();
-    String settings = "";
+    String extraSettings = "";
     /** The operator's file; none where empty. */
-    String operator = "";
+    String operatorConfig = "";
     /** What the system lets the relay have; 0 for whatever it lets this process have. */
-    int descriptors;
-    String mode = "pushed";
-    int holdMost = 50;
+    int maxFileDescriptors;
+    String discoveryMode = "pushed";
+    int maxOpenMessages = 50;
     /** For how long a repeat of a tagged envelope is known, and how long a connection may take to come up. */
-    int memoryMs = 6_000;
-    int connectTimeoutMs = 1_000;
+    int deduplicationMillis = 6_000;
+    int connectTimeoutMillis = 1_000;
     /** Names in the configuration, and what stands there in their place. */
-    final Map<String, String> renamed = new LinkedHashMap<>();
+    final Map<String, String> renamedConfigNames = new LinkedHashMap<>();
     /** As many of them as the settings tell of. */
-    int relays = 1;
+    int relayCount = 1;
     /** For the virtual machine of the relay. */
-    List<String> flags = List.of();
+    List<String> jvmFlags = List.of();
     /** Whether the relay writes its log into a pipe that nobody empties. */
-    boolean unread;
-    String weight = "50.0";
+    boolean leaveOutputUnread;
+    String endpointWeight = "50.0";
     int port;
-    int version = 1;
+    int listVersion = 1;
     Process process;
 
-    Stand() throws IOException {
-        folder = Files.createTempDirectory("yewpath");
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(RELAY))) {
+    RelayFixture() throws IOException {
+        directory = Files.createTempDirectory("yewpath");
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(RELAY_ADDRESS))) {
             port = free.getLocalPort();
         }
-        discovery = new Server(this::platform);
+        discovery = new StubServer(this::platform);
         thread(() -> {
             while (!discovery.listener.isClosed()) {
                 LockSupport.parkNanos(1_000_000_000);
-                if (beats) {
-                    tell("");
+                if (watchKeepAlive) {
+                    publish("");
                 }
             }
         });
     }
 
-    private String platform(Got got) {
-        if (got.line.startsWith("POST /v1/outcomes")) {
-            if (onNotice != null) {
-                return onNotice.apply(got);
+    private String platform(ReceivedRequest got) {
+        if (got.requestLine.startsWith("POST /v1/outcomes")) {
+            if (noticeResponder != null) {
+                return noticeResponder.apply(got);
             }
             if (noticeStatus == 204) {
                 notices.addAll(got.body.lines().toList());
             }
-            return noticeStatus == 0 ? SILENCE
+            return noticeStatus == 0 ? NO_RESPONSE
                 : "HTTP/1.1 " + noticeStatus + " X\r\nContent-Length: 0\r\n\r\n";
         }
         int before;
         synchronized (told) {
             before = told.size();
-            watched.add(got.line);
+            watchRequests.add(got.requestLine);
         }
-        if (newsAfter < 0) {
-            return SILENCE;
+        if (watchDelayMillis < 0) {
+            return NO_RESPONSE;
         }
         try {
-            OutputStream out = discovery.sockets.get(got.connection - 1).getOutputStream();
+            OutputStream out = discovery.sockets.get(got.connectionNumber - 1).getOutputStream();
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
-            pause(newsAfter);
+            pause(watchDelayMillis);
             synchronized (told) {
-                if (!newsRest.isEmpty()) {
-                    chunk(out, news);
-                    beforeTheRest.run();
+                if (!remainingWatchData.isEmpty()) {
+                    chunk(out, initialWatchData);
+                    beforeRemainingWatchData.run();
                 }
-                chunk(out, (newsRest.isEmpty() ? news : newsRest) + "\n");
+                chunk(out, (remainingWatchData.isEmpty() ? initialWatchData : remainingWatchData) + "\n");
                 for (String line : told.subList(before, told.size())) {
                     chunk(out, line + "\n");
                 }
                 watches.add(out);
             }
         } catch (IOException e) {
-            return CUT;
+            return CLOSE_CONNECTION;
         }
-        return SILENCE;
+        return NO_RESPONSE;
     }
 
     /** Discovery answers at another address from now on; the one before stays open. */
-    Server moveDiscovery() throws IOException {
+    StubServer replaceDiscovery() throws IOException {
         watches.clear();
-        discovery = new Server(this::platform);
+        discovery = new StubServer(this::platform);
         return discovery;
     }
 
@@ -313,15 +313,15 @@
     }
 
     /** A line to every open watch, as it stands. */
-    void tell(String line) {
+    void publish(String line) {
         synchronized (told) {
             told.add(line);
-            tellPart(line + "\n");
+            publishPart(line + "\n");
         }
     }
 
     /** Some bytes to every open watch that need not be a line. */
-    void tellPart(String text) {
+    void publishPart(String text) {
         for (OutputStream watch : watches) {
             try {
                 chunk(watch, text);
@@ -331,75 +331,79 @@
         }
     }
 
-    void tell(boolean full, String... entry) {
-        tell("{\"version\":" + ++version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entry)
-            + "]}");
+    void publish(boolean full, String... entry) {
+        publish(
+            "{\"version\":" + ++listVersion + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entry)
+                + "]}");
     }
 
-    String entry(String name, String address, int destination, String kind, String state) {
+    String listEntry(String name, String address, int destination, String kind, String state) {
         return "{\"id\":\"" + name + "\",\"addr\":\"" + address + "\",\"zone\":\"z\",\"kind\":\"" + kind
             + "\",\"cell\":"
-            + destination + ",\"state\":\"" + state + "\",\"weight\":" + weight + ",\"started_ms\":0}";
+            + destination + ",\"state\":\"" + state + "\",\"weight\":" + endpointWeight
+            + ",\"started_ms\":0}";
     }
 
     /** An endpoint listed from the start. */
-    Server endpoint(String name, int destination, String kind, Function<Got, String> answer)
+    StubServer addEndpoint(String name, int destination, String kind,
+        Function<ReceivedRequest, String> responder)
         throws IOException {
-        Server server = new Server(answer);
+        StubServer server = new StubServer(responder);
         endpoints.put(name, server);
-        entries.put(name, entry(name, server.address(), destination, kind, "up"));
+        entries.put(name, listEntry(name, server.address(), destination, kind, "up"));
         return server;
     }
 
-    Server endpoint(int destination, Function<Got, String> answer) throws IOException {
-        return endpoint("e" + destination, destination, "plain", answer);
+    StubServer addEndpoint(int destination, Function<ReceivedRequest, String> responder) throws IOException {
+        return addEndpoint("e" + destination, destination, "plain", responder);
     }
 
-    void listed(String name, String address, int destination) {
-        entries.put(name, entry(name, address, destination, "plain", "up"));
+    void listEndpoint(String name, String address, int destination) {
+        entries.put(name, listEntry(name, address, destination, "plain", "up"));
     }
 
     /** A destination that is listed, where nothing may be sent. */
-    void closed(int destination) {
+    void listDrainingEndpoint(int destination) {
         entries.put("c" + destination,
-            entry("c" + destination, "127.0.0.1:1", destination, "plain", "draining"));
+            listEntry("c" + destination, "127.0.0.1:1", destination, "plain", "draining"));
     }
 
     String config() {
         String config = usualConfig();
-        for (Map.Entry<String, String> name : renamed.entrySet()) {
+        for (Map.Entry<String, String> name : renamedConfigNames.entrySet()) {
             config = config.replace('"' + name.getKey() + '"', '"' + name.getValue() + '"');
         }
         return config;
     }
 
     private String usualConfig() {
-        return "{\"name\":\"n0\",\"listen\":\"" + RELAY + ":" + port + "\",\"discovery\":\""
+        return "{\"name\":\"n0\",\"listen\":\"" + RELAY_ADDRESS + ":" + port + "\",\"discovery\":\""
             + discovery.address()
-            + "\",\"state\":\"" + folder.resolve("state")
+            + "\",\"state\":\"" + directory.resolve("state")
             + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,"
-            + "\"memory_mb\":192" + (limits.contains("sockets") ? "" : ",\"sockets\":1024")
-            + (limits.contains("disk_mb") ? "" : ",\"disk_mb\":3") + limits + "},"
+            + "\"memory_mb\":192" + (extraLimits.contains("sockets") ? "" : ",\"sockets\":1024")
+            + (extraLimits.contains("disk_mb") ? "" : ",\"disk_mb\":3") + extraLimits + "},"
             + "\"known\":{\"version\":1,\"full\":true,\"servers\":[" + String.join(",", entries.values())
             + "]},"
-            + "\"settings\":{\"balancers\":" + relays + ",\"ordinal\":0,\"discovery\":\"" + mode
+            + "\"settings\":{\"balancers\":" + relayCount + ",\"ordinal\":0,\"discovery\":\"" + discoveryMode
             + "\",\"weights\":\"nominal\",\"zones\":[\"z\"],"
             + "\"kinds\":[\"plain\",\"bundled\"],\"family_info\":{\"max_calls\":8,\"bundle_max\":[1,20],"
             + "\"routes_apart\":[false,false],\"late\":\"by_half\"},\"limits\":{\"cancel\":true,\"retry_after\":true,"
-            + "\"max_open\":" + holdMost + ",\"try_limit\":8,\"connect_timeout_ms\":" + connectTimeoutMs
+            + "\"max_open\":" + maxOpenMessages + ",\"try_limit\":8,\"connect_timeout_ms\":"
+            + connectTimeoutMillis
             + ".0,\"conn_idle_ms\":2000.0},\"rules\":{"
             + "\"cold_from\":0.2,\"cold_ms\":2000.0,\"fall_ms\":1000.0,\"fall_multiple\":2.0,\"settle_after_doubt_ms\":400.0},"
-            + settings
+            + extraSettings
             + "\"request_classes\":[{\"name\":\"status\",\"repeat\":\"pure\",\"worth\":1.0,\"late_worth\":0.1,"
             + "\"on_time_ms\":1000.0,\"give_up_ms\":8000.0},{\"name\":\"order\",\"repeat\":\"side_effect\",\"worth\":1.0,"
             + "\"late_worth\":0.4,\"on_time_ms\":3000.0,\"give_up_ms\":20000.0},{\"name\":\"serial\",\"repeat\":\"token\","
-            + "\"group\":\"all\",\"dedup_window_ms\":" + memoryMs
+            + "\"group\":\"all\",\"dedup_window_ms\":" + deduplicationMillis
             + ".0,\"fifo_by_key\":true,\"worth\":1.0,\"late_worth\":0.4,"
             + "\"on_time_ms\":3000.0,\"give_up_ms\":20000.0}],"
             + "\"tenants\":[{\"name\":\"acme\",\"quota_per_s\":10.0,\"portion\":1.0}]}}";
     }
 
-    static ProcessBuilder yewpath(String... args) {
+    static ProcessBuilder yewpathCommand(String... args) {
         List<String> command = new ArrayList<>(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp",
@@ -413,55 +417,56 @@
     }
 
     void start() throws Exception {
-        launch();
-        until("the relay is ready", 10_000, this::isReady);
-        until("it follows the list", 5_000, () -> newsAfter < 0 || !watches.isEmpty());
+        startProcess();
+        waitUntil("the relay is ready", 10_000, this::isReady);
+        waitUntil("it follows the list", 5_000, () -> watchDelayMillis < 0 || !watches.isEmpty());
     }
 
     boolean isReady() {
         try {
-            return ask("GET /health/ready HTTP/1.1\r\nHost: r\r\n\r\n").status == 200;
+            return exchange("GET /health/ready HTTP/1.1\r\nHost: r\r\n\r\n").status == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
     /** Starts the process and leaves it to itself. */
-    void launch() throws Exception {
+    void startProcess() throws Exception {
         watches.clear();
-        Path config = folder.resolve("config.json");
+        Path config = directory.resolve("config.json");
         Files.writeString(config, config());
-        ProcessBuilder builder = yewpath("serve", "--config", config.toString());
-        if (!operator.isEmpty()) {
+        ProcessBuilder builder = yewpathCommand("serve", "--config", config.toString());
+        if (!operatorConfig.isEmpty()) {
             builder.command()
-                .addAll(List.of("--operator", Files.writeString(operatorFile(), operator).toString()));
+                .addAll(List.of("--operator", Files.writeString(operatorFile(), operatorConfig).toString()));
         }
-        builder.command().addAll(1, flags);
+        builder.command().addAll(1, jvmFlags);
         builder.environment().putAll(environment);
-        if (descriptors > 0) {
+        if (maxFileDescriptors > 0) {
             builder.command().addAll(0,
-                List.of("sh", "-c", "ulimit -n " + descriptors + "; exec \"$@\"", "sh"));
+                List.of("sh", "-c", "ulimit -n " + maxFileDescriptors + "; exec \"$@\"", "sh"));
         }
-        process = unread ? builder.start() : builder.redirectOutput(folder.resolve("log").toFile()).start();
+        process = leaveOutputUnread ? builder.start()
+            : builder.redirectOutput(directory.resolve("log").toFile()).start();
     }
 
     /** Has the running relay read a configuration of these words. */
     void reload(String config) throws Exception {
-        Files.writeString(folder.resolve("config.json"), config);
+        Files.writeString(directory.resolve("config.json"), config);
         signal("HUP");
     }
 
     Path operatorFile() {
-        return folder.resolve("yewpath.toml");
+        return directory.resolve("yewpath.toml");
     }
 
     /** What the relay has written so far. */
-    List<String> log() throws IOException {
-        return Files.readAllLines(folder.resolve("log"));
+    List<String> logLines() throws IOException {
+        return Files.readAllLines(directory.resolve("log"));
     }
 
     boolean hasLogged(String event) throws IOException {
-        return log().stream().anyMatch(line -> line.contains(event));
+        return logLines().stream().anyMatch(line -> line.contains(event));
     }
 
     void kill() throws Exception {
@@ -473,31 +478,31 @@
     }
 
     Socket connect() throws IOException {
-        Socket socket = new Socket(RELAY, port);
+        Socket socket = new Socket(RELAY_ADDRESS, port);
         socket.setSoTimeout(5_000);
         return socket;
     }
 
-    Answer ask(String request) throws IOException {
+    Response exchange(String request) throws IOException {
         try (Socket socket = connect()) {
-            return ask(socket, request);
+            return exchange(socket, request);
         }
     }
 
-    static Answer ask(Socket socket, String request) throws IOException {
+    static Response exchange(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-        return answer(socket);
+        return readResponse(socket);
     }
 
-    static Answer answer(Socket socket) throws IOException {
-        Got got = read(socket.getInputStream(), 0);
+    static Response readResponse(Socket socket) throws IOException {
+        ReceivedRequest got = readRequest(socket.getInputStream(), 0);
         if (got == null) {
             throw new IOException("closed without an answer");
         }
-        return new Answer(Integer.parseInt(got.line.split(" ")[1]), got.headers, got.body);
+        return new Response(Integer.parseInt(got.requestLine.split(" ")[1]), got.headers, got.body);
     }
 
-    static String envelope(String id, String offering, int destination, int withinMs, String body) {
+    static String messageRequest(String id, String offering, int destination, int withinMs, String body) {
         return "POST /" + offering + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id
             + "\r\nTenant: acme\r\n"
             + "Request-Timeout: " + withinMs + "m\r\nX-Addressing: dest=" + destination
@@ -505,14 +510,14 @@
             + body.length() + "\r\n\r\n" + body;
     }
 
-    int handIn(String id, String offering, int destination, int withinMs) throws IOException {
-        return ask(envelope(id, offering, destination, withinMs, "body of " + id)).status;
+    int submit(String id, String offering, int destination, int withinMs) throws IOException {
+        return exchange(messageRequest(id, offering, destination, withinMs, "body of " + id)).status;
     }
 
     /** A figure that the relay gives of itself. */
-    long figure(String name) {
+    long statistic(String name) {
         try {
-            return Long.parseLong(ask("GET /stats HTTP/1.1\r\n\r\n").body
+            return Long.parseLong(exchange("GET /stats HTTP/1.1\r\n\r\n").body
                 .replaceAll("(?s).*\"" + name + "\":([0-9]+).*", "$1"));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -527,12 +532,12 @@
         }
     }
 
-    boolean ended(String id, String how) {
+    boolean hasOutcomeNotice(String id, String how) {
         return notices.stream().anyMatch(n -> n.contains('"' + id + '"') && n.contains(how));
     }
 
     /** Whether the other side closes this connection within the time. */
-    static boolean closes(Socket socket, int withinMs) throws IOException {
+    static boolean isClosedWithin(Socket socket, int withinMs) throws IOException {
         socket.setSoTimeout(withinMs);
         try {
             while (socket.getInputStream().read() >= 0) {
@@ -546,9 +551,9 @@
         }
     }
 
-    static void until(String what, long withinMs, Met met) throws Exception {
+    static void waitUntil(String what, long withinMs, Condition met) throws Exception {
         long end = System.nanoTime() + withinMs * 1_000_000;
-        while (!met.yet()) {
+        while (!met.isMet()) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("not within " + withinMs + " ms: " + what);
             }
@@ -556,7 +561,7 @@
         }
     }
 
-    static Got read(InputStream in, int connection) throws IOException {
+    static ReceivedRequest readRequest(InputStream in, int connection) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int b = in.read();
@@ -572,18 +577,19 @@
             headers.put(parts[0].toLowerCase(), parts[1].strip());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Got(lines[0], headers, new String(body, StandardCharsets.ISO_8859_1), connection);
+        return new ReceivedRequest(lines[0], headers, new String(body, StandardCharsets.ISO_8859_1),
+            connection);
     }
 
-    interface Work {
+    interface IoTask {
         void run() throws IOException;
     }
 
-    interface Met {
-        boolean yet() throws Exception;
+    interface Condition {
+        boolean isMet() throws Exception;
     }
 
-    private static void thread(Work work) {
+    private static void thread(IoTask work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
@@ -601,7 +607,7 @@
             process.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
         }
         discovery.close();
-        for (Server endpoint : endpoints.values()) {
+        for (StubServer endpoint : endpoints.values()) {
             endpoint.close();
         }
     }
--- a/relay/src/test/java/yewpath/StrayAnswerTest.java
+++ b/relay/src/test/java/yewpath/StrayAnswerTest.java
@@ -2,13 +2,13 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.CopyingEndpoint.BUSY;
-import static yewpath.CopyingEndpoint.bulkAnswer;
-import static yewpath.CopyingEndpoint.ids;
+import static yewpath.CopyingEndpoint.SERVICE_UNAVAILABLE;
+import static yewpath.CopyingEndpoint.bulkResponse;
+import static yewpath.CopyingEndpoint.messageIds;
 import static yewpath.CopyingEndpoint.staysOpen;
-import static yewpath.CopyingEndpoint.write;
-import static yewpath.Stand.OK;
-import static yewpath.Stand.until;
+import static yewpath.CopyingEndpoint.writeRaw;
+import static yewpath.RelayFixture.OK;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -23,7 +23,7 @@
 import org.testng.annotations.Test;
 
 /** A second copy of an earlier answer comes while the next request on that connection is out. */
-public final class StrayAnswerTest extends Stand.Tests {
+public final class StrayAnswerTest extends RelayFixture.RelayTest {
     private static final String WAIT = "HTTP/1.1 429 X\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n";
     private static final int MESSAGES = 30;
 
@@ -35,35 +35,37 @@
     }
 
     /** Where the connection has had an answer before, sends that once more and works on for a while. */
-    private void repeatLastAnswer(Stand.Server server, Stand.Got got, int workMs) {
-        String earlier = lastAnswers.get(got.connection);
+    private void repeatLastAnswer(RelayFixture.StubServer server, RelayFixture.ReceivedRequest got,
+        int workMs) {
+        String earlier = lastAnswers.get(got.connectionNumber);
         if (earlier != null) {
-            write(server, got, earlier);
-            Stand.pause(workMs);
+            writeRaw(server, got, earlier);
+            RelayFixture.pause(workMs);
         }
     }
 
-    private String answer(Stand.Got got, String bytes) {
-        lastAnswers.put(got.connection, bytes);
+    private String answer(RelayFixture.ReceivedRequest got, String bytes) {
+        lastAnswers.put(got.connectionNumber, bytes);
         return bytes;
     }
 
     /** Of what runs: a message is read and answered with 200, whoever hears that. */
-    private void handInAll(String offering, Stand.Server server, Set<String> over) throws Exception {
+    private void handInAll(String offering, RelayFixture.StubServer server, Set<String> over)
+        throws Exception {
         for (int i = 0; i < MESSAGES; i++) {
-            assertEquals(stand.handIn("m" + i, offering, 1, 5_000), 202);
-            Stand.pause(15);
+            assertEquals(fixture.submit("m" + i, offering, 1, 5_000), 202);
+            RelayFixture.pause(15);
         }
-        until("each has its end", 8_000, () -> over.size() + stand.notices.size() >= MESSAGES
-            && stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
-        assertTrue(server.got.size() >= MESSAGES);
+        waitUntil("each has its end", 8_000, () -> over.size() + fixture.notices.size() >= MESSAGES
+            && fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
+        assertTrue(server.requests.size() >= MESSAGES);
     }
 
     /** Answers that are all the same bytes, and such of which each has its own. */
     @DataProvider
     public Object[][] successes() {
         Supplier<String> alike = () -> OK;
-        Supplier<String> distinct = Stand::distinctOk;
+        Supplier<String> distinct = RelayFixture::uniqueOk;
         return new Object[][]{{alike}, {distinct}};
     }
 
@@ -71,11 +73,12 @@
     public void aCopyOfARefusalDoesNotSendAnOnceOnlyMessageAgain(Supplier<String> success) throws Exception {
         List<String> ran = new ArrayList<>();
         Set<String> over = ConcurrentHashMap.newKeySet();
-        Stand.Server[] server = {null};
-        server[0] = stand.endpoint(1, got -> {
-            boolean refuses = !lastAnswers.containsKey(got.connection) && server[0].posts().size() % 4 == 1;
+        RelayFixture.StubServer[] server = {null};
+        server[0] = fixture.addEndpoint(1, got -> {
+            boolean refuses = !lastAnswers.containsKey(got.connectionNumber)
+                && server[0].postRequests().size() % 4 == 1;
             if (refuses) {
-                return answer(got, BUSY);
+                return answer(got, SERVICE_UNAVAILABLE);
             }
             synchronized (ran) {
                 ran.add(got.id());
@@ -84,7 +87,7 @@
             repeatLastAnswer(server[0], got, 100);
             return answer(got, success.get());
         });
-        stand.start();
+        fixture.start();
         handInAll("order", server[0], over);
         assertEquals(ran.size(), Set.copyOf(ran).size(), "run more than once: " + ran);
     }
@@ -92,25 +95,25 @@
     @Test(dataProvider = "successes")
     public void aCopyOfASuccessDoesNotEndAMessageThatWasRefused(Supplier<String> success) throws Exception {
         Set<String> delivered = ConcurrentHashMap.newKeySet();
-        Stand.Server[] server = {null};
-        server[0] = stand.endpoint(1, got -> {
-            if (lastAnswers.containsKey(got.connection)) {
+        RelayFixture.StubServer[] server = {null};
+        server[0] = fixture.addEndpoint(1, got -> {
+            if (lastAnswers.containsKey(got.connectionNumber)) {
                 repeatLastAnswer(server[0], got, 60);
                 return WAIT;
             }
             delivered.add(got.id());
             return answer(got, success.get());
         });
-        stand.start();
+        fixture.start();
         for (int i = 0; i < MESSAGES; i++) {
-            assertEquals(stand.handIn("m" + i, "status", 1, 3_000), 202);
-            Stand.pause(15);
+            assertEquals(fixture.submit("m" + i, "status", 1, 3_000), 202);
+            RelayFixture.pause(15);
         }
-        until("nothing is held any more", 6_000,
-            () -> stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
+        waitUntil("nothing is held any more", 6_000,
+            () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
         for (int i = 0; i < MESSAGES; i++) {
             String id = "m" + i;
-            assertTrue(delivered.contains(id) || stand.ended(id, "outcome"), id + " is lost");
+            assertTrue(delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome"), id + " is lost");
         }
     }
 
@@ -119,33 +122,34 @@
         Map<String, Integer> out = new ConcurrentHashMap<>();
         List<String> twice = new ArrayList<>();
         Set<String> delivered = ConcurrentHashMap.newKeySet();
-        Stand.Server[] server = {null};
-        server[0] = stand.endpoint("e1", 1, "bundled", got -> {
-            List<String> ids = ids(got);
+        RelayFixture.StubServer[] server = {null};
+        server[0] = fixture.addEndpoint("e1", 1, "bundled", got -> {
+            List<String> ids = messageIds(got);
             for (String id : ids) {
                 if (out.merge(id, 1, Integer::sum) > 1) {
                     twice.add(id);
                 }
             }
-            boolean strays = server[0].posts().size() % 3 == 0 && lastAnswers.containsKey(got.connection);
+            boolean strays = server[0].postRequests().size() % 3 == 0
+                && lastAnswers.containsKey(got.connectionNumber);
             if (strays) {
-                write(server[0], got, lastAnswers.get(got.connection));
+                writeRaw(server[0], got, lastAnswers.get(got.connectionNumber));
             }
             boolean open = staysOpen(server[0], got, 300);
             ids.forEach(id -> out.merge(id, -1, Integer::sum));
             if (!open) {
-                return Stand.CUT;
+                return RelayFixture.CLOSE_CONNECTION;
             }
             delivered.addAll(ids);
-            return answer(got, ids.size() == 1 && !got.line.contains("bulk") ? OK
-                : bulkAnswer(ids.stream().collect(Collectors.toMap(id -> id, id -> "done"))));
+            return answer(got, ids.size() == 1 && !got.requestLine.contains("bulk") ? OK
+                : bulkResponse(ids.stream().collect(Collectors.toMap(id -> id, id -> "done"))));
         });
-        stand.start();
+        fixture.start();
         for (int i = 0; i < 2 * MESSAGES; i++) {
-            assertEquals(stand.handIn("m" + i, "status", 1, 6_000), 202);
-            Stand.pause(15);
+            assertEquals(fixture.submit("m" + i, "status", 1, 6_000), 202);
+            RelayFixture.pause(15);
         }
-        until("all delivered", 8_000, () -> delivered.size() == 2 * MESSAGES);
+        waitUntil("all delivered", 8_000, () -> delivered.size() == 2 * MESSAGES);
         assertEquals(twice, List.of(), "out twice at once");
     }
 
@@ -154,22 +158,22 @@
         String heard = "HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n";
         String unheard = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n";
         Set<String> acknowledged = ConcurrentHashMap.newKeySet();
-        stand.endpoint(1, got -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        stand.onNotice = got -> {
-            if (lastAnswers.containsKey(got.connection)) {
-                repeatLastAnswer(stand.discovery, got, 60);
+        fixture.addEndpoint(1, got -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.noticeResponder = got -> {
+            if (lastAnswers.containsKey(got.connectionNumber)) {
+                repeatLastAnswer(fixture.discovery, got, 60);
                 return unheard;
             }
             acknowledged.add(got.body);
             return answer(got, heard);
         };
-        stand.start();
+        fixture.start();
         for (int i = 0; i < 10; i++) {
-            assertEquals(stand.handIn("n" + i, "order", 1, 3_000), 202);
-            Stand.pause(40);
+            assertEquals(fixture.submit("n" + i, "order", 1, 3_000), 202);
+            RelayFixture.pause(40);
         }
-        until("none is owed any more", 5_000,
-            () -> stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
+        waitUntil("none is owed any more", 5_000,
+            () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
         for (int i = 0; i < 10; i++) {
             String id = '"' + "n" + i + '"';
             assertTrue(acknowledged.stream().anyMatch(body -> body.contains(id)), id + " was never heard");
@@ -188,20 +192,21 @@
     /** Copies of any earlier answer on the connection, ahead of the true one, in the middle of the work or behind it. */
     @Test(dataProvider = "seeds")
     public void copiesAtAnyTimeBreakNoRule(long seed, String kind) throws Exception {
-        stand.holdMost = 200;
+        fixture.maxOpenMessages = 200;
         MessageRules rules = new MessageRules();
-        CopyingEndpoint.listed(stand, "e1", 1, kind, seed, rules);
-        stand.start();
+        CopyingEndpoint.addTo(fixture, "e1", 1, kind, seed, rules);
+        fixture.start();
         for (int i = 0; i < 2 * MESSAGES; i++) {
-            assertEquals(stand.handIn("m" + i, i % 2 == 0 ? "order" : "status", 1, 3_000), 202);
-            Stand.pause(10);
+            assertEquals(fixture.submit("m" + i, i % 2 == 0 ? "order" : "status", 1, 3_000), 202);
+            RelayFixture.pause(10);
         }
-        until("nothing is held any more", 8_000,
-            () -> stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
-        assertEquals(rules.broken, List.of());
+        waitUntil("nothing is held any more", 8_000,
+            () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
+        assertEquals(rules.violations, List.of());
         for (int i = 0; i < 2 * MESSAGES; i++) {
             String id = "m" + i;
-            assertTrue(rules.delivered.contains(id) || stand.ended(id, "outcome"), id + " is lost");
+            assertTrue(rules.delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome"),
+                id + " is lost");
         }
     }
 }
