--- a/relay/src/test/java/yewpath/CopyingEndpoint.java
+++ b/relay/src/test/java/yewpath/CopyingEndpoint.java
@@ -19,14 +19,19 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** Works for a while, answers as the seed has it, and sends copies of its earlier answers. */
+/**
+ * An endpoint that sends copies of its earlier responses, before, during and after an attempt, as a faulty
+ * server or proxy might. A random generator with a given seed chooses the copies, the outcome of each attempt
+ * and its duration of 1 to 60 milliseconds. If the relay closes the connection meanwhile, the attempt gets no
+ * response.
+ */
 final class CopyingEndpoint implements Function<RelayFixture.ReceivedRequest, String> {
     static final String SERVICE_UNAVAILABLE = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
-    private static final Pattern ITEM = Pattern.compile("\"id\":\"([^\"]+)\"");
-    private static final List<String> REFUSALS = List.of(SERVICE_UNAVAILABLE,
+    private static final Pattern BATCH_ITEM_ID = Pattern.compile("\"id\":\"([^\"]+)\"");
+    private static final List<String> REFUSAL_RESPONSES = List.of(SERVICE_UNAVAILABLE,
         "HTTP/1.1 429 X\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n");
 
-    private final Map<Integer, List<String>> answers = new ConcurrentHashMap<>();
+    private final Map<Integer, List<String>> responsesByConnection = new ConcurrentHashMap<>();
     private final MessageRules rules;
     private final Random random;
     private RelayFixture.StubServer server;
@@ -36,6 +41,7 @@
         this.rules = rules;
     }
 
+    /** Starts a copying endpoint and lists it in the configuration of {@code fixture}. */
     static void addTo(RelayFixture fixture, String name, int destination, String kind, long seed,
         MessageRules rules)
         throws IOException {
@@ -43,95 +49,101 @@
         endpoint.server = fixture.addEndpoint(name, destination, kind, endpoint);
     }
 
-    private synchronized int draw(int bound) {
+    private synchronized int randomBelow(int bound) {
         return random.nextInt(bound);
     }
 
     @Override
-    public String apply(RelayFixture.ReceivedRequest got) {
-        List<String> ids = messageIds(got);
-        boolean isBulk = got.requestLine.contains("bulk");
-        boolean refusesAll = draw(4) == 0;
+    public String apply(RelayFixture.ReceivedRequest request) {
+        List<String> ids = messageIds(request);
+        boolean isBatch = request.requestLine.contains("bulk");
+        boolean refusesAll = randomBelow(4) == 0;
         Map<String, String> states = new LinkedHashMap<>();
         for (String id : ids) {
-            boolean refuses = refusesAll || isBulk && draw(4) == 0;
+            boolean refuses = refusesAll || isBatch && randomBelow(4) == 0;
             states.put(id, refuses ? "busy" : "done");
             rules.attemptStarted(id, refuses);
         }
-        copy(got);
-        boolean open = staysOpen(server, got, 1 + draw(60));
-        copy(got);
+        sendCopy(request);
+        boolean staysOpen = staysOpen(server, request, 1 + randomBelow(60));
+        sendCopy(request);
         ids.forEach(rules::attemptEnded);
-        if (!open) {
+        if (!staysOpen) {
             return RelayFixture.CLOSE_CONNECTION;
         }
-        String answer = refusesAll ? REFUSALS.get(draw(2))
-            : isBulk ? bulkResponse(states) : draw(2) == 0 ? OK : RelayFixture.uniqueOk();
-        answers.computeIfAbsent(got.connectionNumber, any -> new CopyOnWriteArrayList<>()).add(answer);
+        String response = refusesAll ? REFUSAL_RESPONSES.get(randomBelow(2))
+            : isBatch ? bulkResponse(states) : randomBelow(2) == 0 ? OK : RelayFixture.uniqueOk();
+        responsesByConnection
+            .computeIfAbsent(request.connectionNumber, connection -> new CopyOnWriteArrayList<>())
+            .add(response);
         states.forEach((id, state) -> {
             if (state.equals("done")) {
                 rules.messageDelivered(id);
             }
         });
-        return draw(6) == 0 ? answer + answer : answer;
+        return randomBelow(6) == 0 ? response + response : response;
     }
 
-    private void copy(RelayFixture.ReceivedRequest got) {
-        List<String> earlier = answers.getOrDefault(got.connectionNumber, List.of());
-        if (!earlier.isEmpty() && draw(2) == 0) {
+    private void sendCopy(RelayFixture.ReceivedRequest request) {
+        List<String> earlier = responsesByConnection.getOrDefault(request.connectionNumber, List.of());
+        if (!earlier.isEmpty() && randomBelow(2) == 0) {
             try {
-                writeRaw(server, got, earlier.get(draw(earlier.size())));
-            } catch (UncheckedIOException closed) {
+                writeRaw(server, request, earlier.get(randomBelow(earlier.size())));
+            } catch (UncheckedIOException connectionClosed) {
                 return;
             }
         }
     }
 
-    static void writeRaw(RelayFixture.StubServer server, RelayFixture.ReceivedRequest got, String bytes) {
+    /** Writes text to the connection of a request; throws UncheckedIOException if it is closed. */
+    static void writeRaw(RelayFixture.StubServer server, RelayFixture.ReceivedRequest request, String text) {
         try {
-            server.sockets.get(got.connectionNumber - 1).getOutputStream()
-                .write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-        } catch (IOException closed) {
-            throw new UncheckedIOException(closed);
+            server.sockets.get(request.connectionNumber - 1).getOutputStream()
+                .write(text.getBytes(StandardCharsets.ISO_8859_1));
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
         }
     }
 
-    /** Whether the relay leaves the connection open for this long. */
-    static boolean staysOpen(RelayFixture.StubServer server, RelayFixture.ReceivedRequest got, int millis) {
-        Socket socket = server.sockets.get(got.connectionNumber - 1);
+    /** Waits and returns whether the relay leaves the connection open for the whole time. */
+    static boolean staysOpen(RelayFixture.StubServer server, RelayFixture.ReceivedRequest request,
+        int millis) {
+        Socket socket = server.sockets.get(request.connectionNumber - 1);
         try {
             socket.setSoTimeout(millis);
             return socket.getInputStream().read() >= 0;
-        } catch (SocketTimeoutException open) {
-            return restore(socket);
-        } catch (IOException reset) {
+        } catch (SocketTimeoutException stillOpen) {
+            return removeReadTimeout(socket);
+        } catch (IOException connectionReset) {
             return false;
         }
     }
 
-    private static boolean restore(Socket socket) {
+    private static boolean removeReadTimeout(Socket socket) {
         try {
             socket.setSoTimeout(0);
             return true;
-        } catch (IOException closed) {
+        } catch (IOException exception) {
             return false;
         }
     }
 
-    static List<String> messageIds(RelayFixture.ReceivedRequest got) {
-        if (got.id() != null) {
-            return List.of(got.id());
+    /** Returns the id of a single message, or the ids of a batch in their order. */
+    static List<String> messageIds(RelayFixture.ReceivedRequest request) {
+        if (request.id() != null) {
+            return List.of(request.id());
         }
         List<String> ids = new ArrayList<>();
-        for (Matcher item = ITEM.matcher(got.body); item.find();) {
-            ids.add(item.group(1));
+        for (Matcher matcher = BATCH_ITEM_ID.matcher(request.body); matcher.find();) {
+            ids.add(matcher.group(1));
         }
         return ids;
     }
 
+    /** Returns the response to a batch with the state of each message by id. */
     static String bulkResponse(Map<String, String> states) {
         String body = "[" + states.entrySet().stream()
-            .map(one -> "{\"id\":\"" + one.getKey() + "\",\"state\":\"" + one.getValue() + "\"}")
+            .map(entry -> "{\"id\":\"" + entry.getKey() + "\",\"state\":\"" + entry.getValue() + "\"}")
             .collect(Collectors.joining(",")) + "]";
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
--- a/relay/src/test/java/yewpath/KnownRed.java
+++ b/relay/src/test/java/yewpath/KnownRed.java
@@ -10,25 +10,30 @@
 import org.testng.IInvokedMethodListener;
 import org.testng.ITestResult;
 
-/** Passes over the failures of exactly those tests that KNOWN-RED.txt lists, and prints each of them. */
+/**
+ * Turns failures of the tests that KNOWN-RED.txt lists into skips and prints them; no other test is affected.
+ * An entry is one line whose part before the first {@code |} is {@code Class.method}; blank lines and lines
+ * that start with # are ignored.
+ */
 public final class KnownRed implements IInvokedMethodListener {
-    private static final Path FILE = Path.of("..", "KNOWN-RED.txt");
+    private static final Path KNOWN_RED_FILE = Path.of("..", "KNOWN-RED.txt");
 
-    private final Set<String> listed = read();
+    private final Set<String> knownFailures = readKnownFailures();
 
-    private static Set<String> read() {
+    private static Set<String> readKnownFailures() {
         try {
-            return Files.readAllLines(FILE).stream().filter(line -> !line.isBlank() && !line.startsWith("#"))
+            return Files.readAllLines(KNOWN_RED_FILE).stream()
+                .filter(line -> !line.isBlank() && !line.startsWith("#"))
                 .map(line -> line.split("\\|", 2)[0].strip()).collect(Collectors.toUnmodifiableSet());
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
         }
     }
 
     @Override
     public void afterInvocation(IInvokedMethod method, ITestResult result) {
         String name = result.getTestClass().getRealClass().getSimpleName() + "." + result.getName();
-        if (!method.isTestMethod() || !listed.contains(name)) {
+        if (!method.isTestMethod() || !knownFailures.contains(name)) {
             return;
         }
         if (result.getStatus() == ITestResult.FAILURE) {
--- a/relay/src/test/java/yewpath/MessageRules.java
+++ b/relay/src/test/java/yewpath/MessageRules.java
@@ -6,28 +6,33 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** What all endpoints together saw of each message, and the rules that were broken. Even numbers may run once only. */
+/**
+ * Records the attempts that all endpoints see of each message and the violations of the delivery rules. An id
+ * is one letter and a number; a message with an even number may be executed at most once.
+ */
 class MessageRules {
     final List<String> violations = new CopyOnWriteArrayList<>();
+    /** The ids of the messages that an endpoint reported as executed. */
     final Set<String> delivered = ConcurrentHashMap.newKeySet();
+    /** The ids of the messages whose submission the relay refused. */
     final Set<String> refusedToClients = ConcurrentHashMap.newKeySet();
-    private final Set<String> ran = ConcurrentHashMap.newKeySet();
-    private final Map<String, Integer> out = new ConcurrentHashMap<>();
+    private final Set<String> executed = ConcurrentHashMap.newKeySet();
+    private final Map<String, Integer> openAttempts = new ConcurrentHashMap<>();
 
-    private static boolean isOnceOnly(String id) {
+    private static boolean isAtMostOnce(String id) {
         return Integer.parseInt(id.substring(1)) % 2 == 0;
     }
 
-    /** An attempt has been read; it runs unless it is refused. */
+    /** An endpoint has read an attempt and executes it unless {@code refused}. */
     void attemptStarted(String id, boolean refused) {
-        if (out.merge(id, 1, Integer::sum) > 1) {
-            violations.add(id + " was out twice at once");
+        if (openAttempts.merge(id, 1, Integer::sum) > 1) {
+            violations.add(id + " was in two attempts at the same time");
         }
         if (refusedToClients.contains(id)) {
-            violations.add(id + " was sent though its client was refused");
+            violations.add(id + " was sent although its submission had been refused");
         }
-        if (isOnceOnly(id) && (refused ? ran.contains(id) : !ran.add(id))) {
-            violations.add(id + " was sent again after it had run");
+        if (isAtMostOnce(id) && (refused ? executed.contains(id) : !executed.add(id))) {
+            violations.add(id + " may be executed at most once but was sent again after its execution");
         }
     }
 
@@ -35,13 +40,15 @@
         delivered.add(id);
     }
 
+    /** The attempt that started last has ended; another one may start. */
     void attemptEnded(String id) {
-        out.merge(id, -1, Integer::sum);
+        openAttempts.merge(id, -1, Integer::sum);
     }
 
+    /** The relay has reported the message as rejected, so it must not have been executed. */
     void messageRejected(String id) {
-        if (isOnceOnly(id) && ran.contains(id)) {
-            violations.add(id + " was handed back though it had run");
+        if (isAtMostOnce(id) && executed.contains(id)) {
+            violations.add(id + " was reported as rejected although it had been executed");
         }
     }
 }
--- a/relay/src/test/java/yewpath/RelayFixture.java
+++ b/relay/src/test/java/yewpath/RelayFixture.java
@@ -25,16 +25,26 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** A relay in a process of its own, among stand-ins for clients, endpoints and the platform. */
+/**
+ * Runs a relay in its own process against stubs of the endpoints and of the platform, which serves discovery
+ * and accepts outcome notices. Set the fields, add endpoints, then call {@link #start}. The relay's state,
+ * configuration and log are in a temporary directory. {@link #close} kills the relay and closes the stubs.
+ */
 final class RelayFixture implements AutoCloseable {
+    /** A success with an empty body; all such responses are alike, see {@link #uniqueOk}. */
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    /** The relay's own address: no stand-in can be given a port that a relay is to come back to. */
+    /**
+     * The address on which relays listen. Stubs use another one, so none can occupy the port of a stopped
+     * relay.
+     */
     static final String RELAY_ADDRESS = "127.0.0.2";
-    private static final AtomicInteger ANSWERS = new AtomicInteger();
-    /** Answers of a stand-in that are not bytes. */
-    static final String NO_RESPONSE = "silence", CLOSE_CONNECTION = "cut";
+    private static final AtomicInteger RESPONSE_COUNT = new AtomicInteger();
+    /** A responder returns this to send nothing and leave the connection open until the relay closes it. */
+    static final String NO_RESPONSE = "silence";
+    /** A responder returns this to close the connection without a response. */
+    static final String CLOSE_CONNECTION = "cut";
 
-    /** Tests with a stand of their own each. */
+    /** Base class of tests that each get a new fixture. */
     abstract static class RelayTest {
         RelayFixture fixture;
 
@@ -49,7 +59,11 @@
         }
     }
 
-    /** One request as a stand-in read it; {@code open} turns false once the relay has closed the connection. */
+    /**
+     * One request as a stub read it. Header names are in lower case. {@code connectionNumber} counts the
+     * stub's connections from 1. {@code open} becomes false once the relay has closed the connection of a
+     * request that got {@link #NO_RESPONSE}.
+     */
     static final class ReceivedRequest {
         final String requestLine;
         final Map<String, String> headers;
@@ -65,18 +79,22 @@
             this.connectionNumber = connection;
         }
 
+        /** Returns the id of the message; null if the request has none, such as a batch. */
         String id() {
             return headers.get("request-id");
         }
     }
 
-    /** A success whose body no other answer has, so that its connection can be kept. */
+    /**
+     * Returns a success whose body differs from that of every other response, so that its connection can be
+     * reused.
+     */
     static String uniqueOk() {
-        String body = "answer " + ANSWERS.incrementAndGet();
+        String body = "answer " + RESPONSE_COUNT.incrementAndGet();
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A server that answers each request by a function of it, and keeps what it got. */
+    /** An HTTP server that computes each response from the request and records the requests it read. */
     static final class StubServer implements AutoCloseable {
         final List<ReceivedRequest> requests = new CopyOnWriteArrayList<>();
         final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
@@ -134,7 +152,7 @@
         }
 
         List<ReceivedRequest> postRequests() {
-            return requests.stream().filter(g -> g.requestLine.startsWith("POST")).toList();
+            return requests.stream().filter(request -> request.requestLine.startsWith("POST")).toList();
         }
 
         void closeConnections() throws IOException {
@@ -150,28 +168,31 @@
         }
     }
 
-    /** Connects until the listener's queue is full and further connections stay silent. */
+    /**
+     * Connects until the backlog of {@code listener} is full, so that further connection attempts get no
+     * reply.
+     */
     static List<Socket> fillBacklog(ServerSocket listener) throws IOException {
-        List<Socket> filling = new ArrayList<>();
-        for (boolean room = true; room;) {
+        List<Socket> sockets = new ArrayList<>();
+        for (boolean hasRoom = true; hasRoom;) {
             Socket socket = new Socket();
-            filling.add(socket);
+            sockets.add(socket);
             try {
                 socket.connect(listener.getLocalSocketAddress(), 200);
-            } catch (SocketTimeoutException full) {
-                room = false;
+            } catch (SocketTimeoutException backlogFull) {
+                hasRoom = false;
             }
         }
-        return filling;
+        return sockets;
     }
 
-    /** A server that never accepts: its queue is full, and further connections stay silent. */
+    /** A server that never accepts. Its backlog is full, so connection attempts to it get no reply. */
     static final class UnresponsiveServer implements AutoCloseable {
         private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-        private final List<Socket> filling;
+        private final List<Socket> backlog;
 
         UnresponsiveServer() throws IOException {
-            filling = fillBacklog(listener);
+            backlog = fillBacklog(listener);
         }
 
         String address() {
@@ -180,63 +201,83 @@
 
         @Override
         public void close() throws IOException {
-            for (Socket socket : filling) {
+            for (Socket socket : backlog) {
                 socket.close();
             }
             listener.close();
         }
     }
 
-    /** What a client got back. */
+    /** A response of the relay to a client; header names are in lower case. */
     record Response(int status, Map<String, String> headers, String body) {}
 
     final Path directory;
     volatile StubServer discovery;
     /**
-     * The watches that are open, and every line told so far, which guards both: one that is being opened gets what was told
-     * since it was asked for, as from a platform that knows versions. A line told in between used to reach nobody.
+     * The open watches of discovery. {@code publishedLines} holds every line published so far and is the lock
+     * for both. A watch that is being opened gets the lines published since it was requested, as from a
+     * platform that keeps versions; otherwise a line published while a watch is being opened would reach
+     * nobody.
      */
     private final List<OutputStream> watches = new CopyOnWriteArrayList<>();
-    private final List<String> told = new ArrayList<>();
+    private final List<String> publishedLines = new ArrayList<>();
+    /** The request line of each watch that was requested. */
     final List<String> watchRequests = new CopyOnWriteArrayList<>();
+    /** The outcome notices that were answered with 204, one JSON object each. */
     final List<String> notices = new CopyOnWriteArrayList<>();
-    /** Answers notices in place of {@code noticeStatus}; null for none. */
+    /**
+     * Computes the responses to notices in place of {@code noticeStatus} if not null; its notices are not
+     * recorded.
+     */
     volatile Function<ReceivedRequest, String> noticeResponder;
-    /** 0 leaves notices without an answer. */
+    /** The status of the responses to notices; 0 sends no response. */
     volatile int noticeStatus = 204;
-    /** What a watch starts with, and how many milliseconds after its head; below 0 it never answers. */
+    /** What a watch sends first. */
     volatile String initialWatchData = "";
+    /**
+     * The delay between the response head of a watch and its first data; if negative, watches get no
+     * response.
+     */
     volatile int watchDelayMillis;
-    /** The rest of what a watch starts with, and what is waited for before it. */
+    /**
+     * If not empty, what a watch sends after {@code initialWatchData}, once {@code beforeRemainingWatchData}
+     * has run.
+     */
     volatile String remainingWatchData = "";
     volatile Runnable beforeRemainingWatchData = () -> {};
-    /** Whether a watch brings empty lines where nothing changes. */
+    /** Whether open watches get an empty line every second. */
     volatile boolean watchKeepAlive = true;
     private final Map<String, StubServer> endpoints = new LinkedHashMap<>();
     private final Map<String, String> entries = new LinkedHashMap<>();
+    /** Added to the object {@code limits} of the configuration; starts with a comma. */
     String extraLimits = "";
-    /** Set for the relay beside its configuration. */
+    /** Additional environment variables of the relay. */
     final Map<String, String> environment = new LinkedHashMap<>();
+    /** Added to the object {@code settings} of the configuration; ends with a comma. */
     String extraSettings = "";
-    /** The operator's file; none where empty. */
+    /** The text of the operator's file; empty for no such file. */
     String operatorConfig = "";
-    /** What the system lets the relay have; 0 for whatever it lets this process have. */
+    /** The limit of open file descriptors of the relay; 0 for that of this process. */
     int maxFileDescriptors;
+    /** The setting {@code discovery}: {@code pushed} or {@code on_request}. */
     String discoveryMode = "pushed";
     int maxOpenMessages = 50;
-    /** For how long a repeat of a tagged envelope is known, and how long a connection may take to come up. */
+    /** How long endpoints recognize a repeat of a deduplicated message. */
     int deduplicationMillis = 6_000;
     int connectTimeoutMillis = 1_000;
-    /** Names in the configuration, and what stands there in their place. */
+    /** Names in the configuration and their replacements. */
     final Map<String, String> renamedConfigNames = new LinkedHashMap<>();
-    /** As many of them as the settings tell of. */
+    /** The number of relays that the settings report. */
     int relayCount = 1;
-    /** For the virtual machine of the relay. */
+    /** Additional options of the relay's Java virtual machine. */
     List<String> jvmFlags = List.of();
-    /** Whether the relay writes its log into a pipe that nobody empties. */
+    /** Whether the relay writes its log into a pipe that nobody reads. */
     boolean leaveOutputUnread;
+    /** The weight of listed endpoints: the advertised limit in calls per second. */
     String endpointWeight = "50.0";
+    /** The relay's port. */
     int port;
+    /** The version of the endpoint list published last. */
     int listVersion = 1;
     Process process;
 
@@ -256,49 +297,51 @@
         });
     }
 
-    private String platform(ReceivedRequest got) {
-        if (got.requestLine.startsWith("POST /v1/outcomes")) {
+    private String platform(ReceivedRequest request) {
+        if (request.requestLine.startsWith("POST /v1/outcomes")) {
             if (noticeResponder != null) {
-                return noticeResponder.apply(got);
+                return noticeResponder.apply(request);
             }
             if (noticeStatus == 204) {
-                notices.addAll(got.body.lines().toList());
+                notices.addAll(request.body.lines().toList());
             }
             return noticeStatus == 0 ? NO_RESPONSE
                 : "HTTP/1.1 " + noticeStatus + " X\r\nContent-Length: 0\r\n\r\n";
         }
         int before;
-        synchronized (told) {
-            before = told.size();
-            watchRequests.add(got.requestLine);
+        synchronized (publishedLines) {
+            before = publishedLines.size();
+            watchRequests.add(request.requestLine);
         }
         if (watchDelayMillis < 0) {
             return NO_RESPONSE;
         }
         try {
-            OutputStream out = discovery.sockets.get(got.connectionNumber - 1).getOutputStream();
+            OutputStream out = discovery.sockets.get(request.connectionNumber - 1).getOutputStream();
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
             pause(watchDelayMillis);
-            synchronized (told) {
+            synchronized (publishedLines) {
                 if (!remainingWatchData.isEmpty()) {
                     chunk(out, initialWatchData);
                     beforeRemainingWatchData.run();
                 }
                 chunk(out, (remainingWatchData.isEmpty() ? initialWatchData : remainingWatchData) + "\n");
-                for (String line : told.subList(before, told.size())) {
+                for (String line : publishedLines.subList(before, publishedLines.size())) {
                     chunk(out, line + "\n");
                 }
                 watches.add(out);
             }
-        } catch (IOException e) {
+        } catch (IOException exception) {
             return CLOSE_CONNECTION;
         }
         return NO_RESPONSE;
     }
 
-    /** Discovery answers at another address from now on; the one before stays open. */
+    /**
+     * Starts discovery at another address, which later configurations name; the previous server stays open.
+     */
     StubServer replaceDiscovery() throws IOException {
         watches.clear();
         discovery = new StubServer(this::platform);
@@ -312,31 +355,36 @@
         out.flush();
     }
 
-    /** A line to every open watch, as it stands. */
+    /** Sends a line, unchanged, to every open watch. */
     void publish(String line) {
-        synchronized (told) {
-            told.add(line);
+        synchronized (publishedLines) {
+            publishedLines.add(line);
             publishPart(line + "\n");
         }
     }
 
-    /** Some bytes to every open watch that need not be a line. */
+    /** Sends text that need not be a whole line to every open watch. */
     void publishPart(String text) {
         for (OutputStream watch : watches) {
             try {
                 chunk(watch, text);
-            } catch (IOException e) {
+            } catch (IOException exception) {
                 watches.remove(watch);
             }
         }
     }
 
+    /**
+     * Publishes the next version of the endpoint list; a full one replaces the list, another one updates
+     * entries.
+     */
     void publish(boolean full, String... entry) {
         publish(
             "{\"version\":" + ++listVersion + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entry)
                 + "]}");
     }
 
+    /** Returns an entry of the endpoint list in JSON. */
     String listEntry(String name, String address, int destination, String kind, String state) {
         return "{\"id\":\"" + name + "\",\"addr\":\"" + address + "\",\"zone\":\"z\",\"kind\":\"" + kind
             + "\",\"cell\":"
@@ -344,7 +392,7 @@
             + ",\"started_ms\":0}";
     }
 
-    /** An endpoint listed from the start. */
+    /** Starts an endpoint that the configuration lists. */
     StubServer addEndpoint(String name, int destination, String kind,
         Function<ReceivedRequest, String> responder)
         throws IOException {
@@ -354,29 +402,34 @@
         return server;
     }
 
+    /**
+     * Starts a listed endpoint that takes one message per call; its name is {@code e} and the destination.
+     */
     StubServer addEndpoint(int destination, Function<ReceivedRequest, String> responder) throws IOException {
         return addEndpoint("e" + destination, destination, "plain", responder);
     }
 
+    /** Lists an endpoint in the configuration without starting a server. */
     void listEndpoint(String name, String address, int destination) {
         entries.put(name, listEntry(name, address, destination, "plain", "up"));
     }
 
-    /** A destination that is listed, where nothing may be sent. */
+    /** Lists a destination whose only endpoint is draining, so nothing may be sent to it. */
     void listDrainingEndpoint(int destination) {
         entries.put("c" + destination,
             listEntry("c" + destination, "127.0.0.1:1", destination, "plain", "draining"));
     }
 
+    /** Returns the relay's configuration. */
     String config() {
-        String config = usualConfig();
+        String config = configWithOriginalNames();
         for (Map.Entry<String, String> name : renamedConfigNames.entrySet()) {
             config = config.replace('"' + name.getKey() + '"', '"' + name.getValue() + '"');
         }
         return config;
     }
 
-    private String usualConfig() {
+    private String configWithOriginalNames() {
         return "{\"name\":\"n0\",\"listen\":\"" + RELAY_ADDRESS + ":" + port + "\",\"discovery\":\""
             + discovery.address()
             + "\",\"state\":\"" + directory.resolve("state")
@@ -403,6 +456,10 @@
             + "\"tenants\":[{\"name\":\"acme\",\"quota_per_s\":10.0,\"portion\":1.0}]}}";
     }
 
+    /**
+     * Returns a process of the main program with these arguments, without the {@code NODE_} variables of this
+     * process.
+     */
     static ProcessBuilder yewpathCommand(String... args) {
         List<String> command = new ArrayList<>(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -416,21 +473,23 @@
         return builder;
     }
 
+    /** Starts the relay and waits until it is ready and watches discovery. */
     void start() throws Exception {
         startProcess();
         waitUntil("the relay is ready", 10_000, this::isReady);
-        waitUntil("it follows the list", 5_000, () -> watchDelayMillis < 0 || !watches.isEmpty());
+        waitUntil("the relay watches the endpoint list", 5_000,
+            () -> watchDelayMillis < 0 || !watches.isEmpty());
     }
 
     boolean isReady() {
         try {
             return exchange("GET /health/ready HTTP/1.1\r\nHost: r\r\n\r\n").status == 200;
-        } catch (IOException e) {
+        } catch (IOException exception) {
             return false;
         }
     }
 
-    /** Starts the process and leaves it to itself. */
+    /** Starts the relay without waiting until it is ready. */
     void startProcess() throws Exception {
         watches.clear();
         Path config = directory.resolve("config.json");
@@ -450,7 +509,7 @@
             : builder.redirectOutput(directory.resolve("log").toFile()).start();
     }
 
-    /** Has the running relay read a configuration of these words. */
+    /** Replaces the configuration file and makes the running relay reload it. */
     void reload(String config) throws Exception {
         Files.writeString(directory.resolve("config.json"), config);
         signal("HUP");
@@ -460,7 +519,7 @@
         return directory.resolve("yewpath.toml");
     }
 
-    /** What the relay has written so far. */
+    /** Returns the lines that the relay has logged so far. */
     List<String> logLines() throws IOException {
         return Files.readAllLines(directory.resolve("log"));
     }
@@ -469,20 +528,24 @@
         return logLines().stream().anyMatch(line -> line.contains(event));
     }
 
+    /** Kills the relay and waits for its end. */
     void kill() throws Exception {
         process.destroyForcibly().waitFor();
     }
 
+    /** Sends the relay a signal, such as {@code HUP}. */
     void signal(String name) throws Exception {
         new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
     }
 
+    /** Connects to the relay; reads time out after 5 seconds. */
     Socket connect() throws IOException {
         Socket socket = new Socket(RELAY_ADDRESS, port);
         socket.setSoTimeout(5_000);
         return socket;
     }
 
+    /** Sends a request on a new connection and returns the response. */
     Response exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             return exchange(socket, request);
@@ -494,81 +557,91 @@
         return readResponse(socket);
     }
 
+    /** Reads a response; throws IOException if the connection closes before one is complete. */
     static Response readResponse(Socket socket) throws IOException {
-        ReceivedRequest got = readRequest(socket.getInputStream(), 0);
-        if (got == null) {
-            throw new IOException("closed without an answer");
+        ReceivedRequest request = readRequest(socket.getInputStream(), 0);
+        if (request == null) {
+            throw new IOException("the connection was closed before a whole response");
         }
-        return new Response(Integer.parseInt(got.requestLine.split(" ")[1]), got.headers, got.body);
+        return new Response(Integer.parseInt(request.requestLine.split(" ")[1]), request.headers,
+            request.body);
     }
 
-    static String messageRequest(String id, String offering, int destination, int withinMs, String body) {
-        return "POST /" + offering + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id
+    /** Returns the HTTP request that submits a message. */
+    static String messageRequest(String id, String messageClass, int destination, int timeoutMillis,
+        String body) {
+        return "POST /" + messageClass + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id
             + "\r\nTenant: acme\r\n"
-            + "Request-Timeout: " + withinMs + "m\r\nX-Addressing: dest=" + destination
+            + "Request-Timeout: " + timeoutMillis + "m\r\nX-Addressing: dest=" + destination
             + "\r\nContent-Length: "
             + body.length() + "\r\n\r\n" + body;
     }
 
-    int submit(String id, String offering, int destination, int withinMs) throws IOException {
-        return exchange(messageRequest(id, offering, destination, withinMs, "body of " + id)).status;
+    /** Submits a message and returns the status of the response. */
+    int submit(String id, String messageClass, int destination, int timeoutMillis) throws IOException {
+        return exchange(messageRequest(id, messageClass, destination, timeoutMillis, "body of " + id)).status;
     }
 
-    /** A figure that the relay gives of itself. */
+    /** Returns a number of the relay's page {@code /stats}. */
     long statistic(String name) {
         try {
             return Long.parseLong(exchange("GET /stats HTTP/1.1\r\n\r\n").body
                 .replaceAll("(?s).*\"" + name + "\":([0-9]+).*", "$1"));
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
         }
     }
 
+    /** Blocks the calling thread for the whole time. */
     static void pause(long millis) {
-        // Parking may end at once: a permit can be left over from whatever this thread waited for before.
+        // A park can return at once, since a permit may be left from an earlier wait of this thread.
         long end = System.nanoTime() + millis * 1_000_000;
         for (long left = end - System.nanoTime(); left > 0; left = end - System.nanoTime()) {
             LockSupport.parkNanos(left);
         }
     }
 
-    boolean hasOutcomeNotice(String id, String how) {
-        return notices.stream().anyMatch(n -> n.contains('"' + id + '"') && n.contains(how));
+    /** Whether a notice of this message contains the outcome. */
+    boolean hasOutcomeNotice(String id, String outcome) {
+        return notices.stream()
+            .anyMatch(notice -> notice.contains('"' + id + '"') && notice.contains(outcome));
     }
 
-    /** Whether the other side closes this connection within the time. */
-    static boolean isClosedWithin(Socket socket, int withinMs) throws IOException {
-        socket.setSoTimeout(withinMs);
+    /** Whether the peer closes or resets the connection within the time. */
+    static boolean isClosedWithin(Socket socket, int timeoutMillis) throws IOException {
+        socket.setSoTimeout(timeoutMillis);
         try {
             while (socket.getInputStream().read() >= 0) {
                 continue;
             }
             return true;
-        } catch (SocketTimeoutException e) {
+        } catch (SocketTimeoutException exception) {
             return false;
         } catch (IOException reset) {
             return true;
         }
     }
 
-    static void waitUntil(String what, long withinMs, Condition met) throws Exception {
-        long end = System.nanoTime() + withinMs * 1_000_000;
-        while (!met.isMet()) {
+    /** Waits for the condition; throws AssertionError, which names {@code what}, if it is not met in time. */
+    static void waitUntil(String what, long timeoutMillis, Condition condition) throws Exception {
+        long end = System.nanoTime() + timeoutMillis * 1_000_000;
+        while (!condition.isMet()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("not within " + withinMs + " ms: " + what);
+                throw new AssertionError("not within " + timeoutMillis + " ms: " + what);
             }
             Thread.sleep(5);
         }
     }
 
+    /** Reads an HTTP message; returns null if the connection ends before the head is complete. */
     static ReceivedRequest readRequest(InputStream in, int connection) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-            int b = in.read();
-            if (b < 0) {
+            int next = in.read();
+            if (next < 0) {
                 return null;
             }
-            head.write(b);
+            head.write(next);
         }
         String[] lines = head.toString(StandardCharsets.ISO_8859_1).split("\r\n");
         Map<String, String> headers = new LinkedHashMap<>();
@@ -585,6 +658,7 @@
         void run() throws IOException;
     }
 
+    /** A condition that is polled. */
     interface Condition {
         boolean isMet() throws Exception;
     }
@@ -593,7 +667,7 @@
         Thread thread = new Thread(() -> {
             try {
                 work.run();
-            } catch (IOException | UncheckedIOException over) {
+            } catch (IOException | UncheckedIOException closed) {
                 return;
             }
         });
