--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -32,7 +32,10 @@
 import yewpath.loop.Limits;
 import yewpath.operator.OperatorSettings;
 
-/** Calls and clients' visits on real connections, with the thread that serves them held still at the instant in question. */
+/**
+ * Tests races on real connections to endpoints and clients. Most tests block the event loop's thread at the
+ * critical moment, so that several events are ready when it continues.
+ */
 public final class ConnectionsTest {
     private XnioWorker worker;
     private EventLoop loop;
@@ -53,7 +56,7 @@
         worker.shutdownNow();
     }
 
-    /** One envelope, and how its shots ended. */
+    /** One message, with the outcomes of its attempts. Its times are in microseconds of the event loop. */
     private final class Attempt implements Call.Attempt {
         final List<Integer> outcomes = new CopyOnWriteArrayList<>();
         final String id;
@@ -61,10 +64,10 @@
         final long leaveBy;
         byte[] body = {'x'};
 
-        Attempt(String id, long expiresIn, long leavesIn) {
+        Attempt(String id, long expiresInMicros, long sendWithinMicros) {
             this.id = id;
-            expiry = loop.nowMicros() + expiresIn;
-            leaveBy = loop.nowMicros() + leavesIn;
+            expiry = loop.nowMicros() + expiresInMicros;
+            leaveBy = loop.nowMicros() + sendWithinMicros;
         }
 
         @Override
@@ -105,121 +108,142 @@
         public void leaving() {}
 
         @Override
-        public void ended(int outcome, long wait, boolean over, double left, double limit) {
+        public void ended(int outcome, long retryAfterMicros, boolean finished, double remainingShare,
+            double limit) {
             outcomes.add(outcome);
         }
     }
 
-    private void send(Attempt cargo, InetSocketAddress to) {
+    private void send(Attempt attempt, InetSocketAddress address) {
         loop.thread().execute(() -> {
-            delivery.place(0, to);
-            delivery.call(0, List.of(cargo), cargo.expiry);
+            delivery.place(0, address);
+            delivery.call(0, List.of(attempt), attempt.expiry);
         });
     }
 
-    private static InetSocketAddress at(String address) {
+    private static InetSocketAddress socketAddress(String address) {
         return new InetSocketAddress("127.0.0.1",
             Integer.parseInt(address.substring(address.indexOf(':') + 1)));
     }
 
+    /**
+     * Guards against an attempt that is sent after its latest time because its connection was established
+     * late.
+     */
     @Test
-    public void whatHasNotLeftInItsTimeIsTakenBack() throws Exception {
-        try (RelayFixture.UnresponsiveServer deaf = new RelayFixture.UnresponsiveServer()) {
-            Attempt cargo = new Attempt("late", 20_000_000, 300_000);
-            send(cargo, at(deaf.address()));
-            waitUntil("it is taken back, its connection not up yet", 1_500, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
+    public void attemptThatIsNotSentInTimeIsNotExecuted() throws Exception {
+        try (RelayFixture.UnresponsiveServer unresponsive = new RelayFixture.UnresponsiveServer()) {
+            Attempt attempt = new Attempt("late", 20_000_000, 300_000);
+            send(attempt, socketAddress(unresponsive.address()));
+            waitUntil("the attempt ends before its connection is established", 1_500,
+                () -> attempt.outcomes.size() == 1);
+            assertEquals(attempt.outcomes, List.of(PolicyActions.NOT_EXECUTED));
         }
     }
 
+    /**
+     * Guards against a call that stays open for good because an exception was thrown while its request was
+     * built.
+     */
     @Test
-    public void aCallThatCannotBePutTogetherEndsAsNotSent() throws Exception {
-        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(got -> OK)) {
-            Attempt cargo = new Attempt("faulty", 20_000_000, 20_000_000);
-            cargo.body = null;
-            send(cargo, at(endpoint.address()));
-            waitUntil("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
+    public void callThatCannotBeBuiltEndsAsNotExecuted() throws Exception {
+        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(request -> OK)) {
+            Attempt attempt = new Attempt("faulty", 20_000_000, 20_000_000);
+            attempt.body = null;
+            send(attempt, socketAddress(endpoint.address()));
+            waitUntil("the attempt has ended", 2_000, () -> attempt.outcomes.size() == 1);
+            assertEquals(attempt.outcomes, List.of(PolicyActions.NOT_EXECUTED));
             assertEquals(delivery.callsOut(), 0);
             Attempt next = new Attempt("next", 20_000_000, 20_000_000);
-            send(next, at(endpoint.address()));
-            waitUntil("the next goes as ever", 2_000,
+            send(next, socketAddress(endpoint.address()));
+            waitUntil("the next message is delivered", 2_000,
                 () -> next.outcomes.equals(List.of(PolicyActions.DELIVERED)));
         }
     }
 
-    /** The thread is held from before the answer until after the envelope's time: the timer rings before the socket is read. */
+    /**
+     * Guards against a lost success: the response arrives before the message expires but is still unread when
+     * the timer runs. The event loop's thread is blocked from before the response until after the expiry.
+     */
     @Test
-    public void anAnswerThatLiesInTheSocketAtTheExpiryCounts() throws Exception {
-        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(got -> NO_RESPONSE)) {
-            Attempt cargo = new Attempt("just", 2_500_000, 2_500_000);
-            send(cargo, at(endpoint.address()));
-            waitUntil("it is out", 2_000, () -> endpoint.requests.size() == 1);
-            CountDownLatch held = new CountDownLatch(1);
+    public void responseInTheSocketAtTheExpiryCounts() throws Exception {
+        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(request -> NO_RESPONSE)) {
+            Attempt attempt = new Attempt("just", 2_500_000, 2_500_000);
+            send(attempt, socketAddress(endpoint.address()));
+            waitUntil("the message is sent", 2_000, () -> endpoint.requests.size() == 1);
+            CountDownLatch loopBlocked = new CountDownLatch(1);
             loop.thread().execute(() -> {
                 try {
                     endpoint.sockets.get(0).getOutputStream().write(OK.getBytes(StandardCharsets.ISO_8859_1));
-                } catch (IOException e) {
-                    cargo.outcomes.add(100);
+                } catch (IOException exception) {
+                    attempt.outcomes.add(100);
                 }
-                RelayFixture.pause(Math.max(1, (cargo.expiry - loop.nowMicros()) / 1000 + 20));
-                held.countDown();
+                RelayFixture.pause(Math.max(1, (attempt.expiry - loop.nowMicros()) / 1000 + 20));
+                loopBlocked.countDown();
             });
-            assertTrue(held.await(5, TimeUnit.SECONDS));
-            waitUntil("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
-            assertEquals(cargo.outcomes, List.of(PolicyActions.DELIVERED));
+            assertTrue(loopBlocked.await(5, TimeUnit.SECONDS));
+            waitUntil("the attempt has ended", 2_000, () -> attempt.outcomes.size() == 1);
+            assertEquals(attempt.outcomes, List.of(PolicyActions.DELIVERED));
         }
     }
 
-    /** The copy names a message that is out again. */
+    /**
+     * Guards against a wrong outcome: a copy of the response to an earlier batch names a message that has
+     * been sent again since.
+     */
     @Test
-    public void aCopyThatCallsAMessageBusyIsNotTheAnswerToItsNextAttempt() throws Exception {
-        String first = bulkAnswer("[{\"id\":\"a\",\"state\":\"done\"},{\"id\":\"b\",\"state\":\"busy\"}]");
-        String second = bulkAnswer("[{\"id\":\"b\",\"state\":\"done\"},{\"id\":\"c\",\"state\":\"done\"}]");
-        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(got -> first)) {
-            endpoint.responder = got -> got.body.contains("\"a\"") ? first
-                : got.connectionNumber == 1 ? first + second : second;
-            Attempt a = new Attempt("a", 20_000_000, 20_000_000);
-            Attempt b = new Attempt("b", 20_000_000, 20_000_000);
-            Attempt c = new Attempt("c", 20_000_000, 20_000_000);
-            sendTogether(at(endpoint.address()), a, b);
-            waitUntil("one is refused", 2_000, () -> b.outcomes.equals(List.of(PolicyActions.OVERLOADED)));
-            sendTogether(at(endpoint.address()), b, c);
-            waitUntil("both are delivered", 2_000, () -> c.outcomes.size() == 1);
-            assertEquals(b.outcomes, List.of(PolicyActions.OVERLOADED, PolicyActions.DELIVERED));
-            assertEquals(c.outcomes, List.of(PolicyActions.DELIVERED));
+    public void copiedBusyResponseIsNotTakenForTheNextAttempt() throws Exception {
+        String first = bulkResponse("[{\"id\":\"a\",\"state\":\"done\"},{\"id\":\"b\",\"state\":\"busy\"}]");
+        String second = bulkResponse("[{\"id\":\"b\",\"state\":\"done\"},{\"id\":\"c\",\"state\":\"done\"}]");
+        try (RelayFixture.StubServer endpoint = new RelayFixture.StubServer(request -> first)) {
+            endpoint.responder = request -> request.body.contains("\"a\"") ? first
+                : request.connectionNumber == 1 ? first + second : second;
+            Attempt attemptA = new Attempt("a", 20_000_000, 20_000_000);
+            Attempt attemptB = new Attempt("b", 20_000_000, 20_000_000);
+            Attempt attemptC = new Attempt("c", 20_000_000, 20_000_000);
+            sendTogether(socketAddress(endpoint.address()), attemptA, attemptB);
+            waitUntil("the busy message is rejected", 2_000,
+                () -> attemptB.outcomes.equals(List.of(PolicyActions.OVERLOADED)));
+            sendTogether(socketAddress(endpoint.address()), attemptB, attemptC);
+            waitUntil("both messages are delivered", 2_000, () -> attemptC.outcomes.size() == 1);
+            assertEquals(attemptB.outcomes, List.of(PolicyActions.OVERLOADED, PolicyActions.DELIVERED));
+            assertEquals(attemptC.outcomes, List.of(PolicyActions.DELIVERED));
         }
     }
 
-    /** An answer ahead of the request's last byte is of another request. */
+    /**
+     * Guards against a false delivery: a response that arrives before the last byte of the request is sent
+     * belongs to another request.
+     */
     @Test
-    public void aSuccessAheadOfTheWholeRequestIsNoDelivery() throws Exception {
+    public void successBeforeTheWholeRequestIsNoDelivery() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             listener.setReceiveBufferSize(4_096);
-            Attempt cargo = new Attempt("large", 20_000_000, 20_000_000);
-            cargo.body = new byte[16 << 20];
-            send(cargo, at("127.0.0.1:" + listener.getLocalPort()));
+            Attempt attempt = new Attempt("large", 20_000_000, 20_000_000);
+            attempt.body = new byte[16 << 20];
+            send(attempt, socketAddress("127.0.0.1:" + listener.getLocalPort()));
             try (Socket peer = listener.accept()) {
                 assertTrue(peer.getInputStream().read() >= 0);
                 peer.getOutputStream().write(OK.getBytes(StandardCharsets.ISO_8859_1));
-                waitUntil("it has its end", 3_000, () -> cargo.outcomes.size() == 1);
-                assertEquals(cargo.outcomes, List.of(PolicyActions.UNREACHABLE));
+                waitUntil("the attempt has ended", 3_000, () -> attempt.outcomes.size() == 1);
+                assertEquals(attempt.outcomes, List.of(PolicyActions.UNREACHABLE));
             }
         }
     }
 
-    private static String bulkAnswer(String body) {
+    private static String bulkResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private void sendTogether(InetSocketAddress to, Attempt... cargo) {
+    private void sendTogether(InetSocketAddress address, Attempt... attempts) {
         loop.thread().execute(() -> {
-            delivery.place(0, to);
-            delivery.call(0, List.of(cargo), cargo[0].expiry);
+            delivery.place(0, address);
+            delivery.call(0, List.of(attempts), attempts[0].expiry);
         });
     }
 
-    private final class Refusing implements MessageIntake {
+    /** Refuses every message with 503. */
+    private final class RefusingIntake implements MessageIntake {
         @Override
         public boolean isClosing() {
             return false;
@@ -231,7 +255,7 @@
         }
 
         @Override
-        public boolean isKnownClass(String offering) {
+        public boolean isKnownClass(String messageClass) {
             return true;
         }
 
@@ -245,59 +269,66 @@
         }
 
         @Override
-        public void submit(String id, String offering, String tenant, String key, String tag,
+        public void submit(String id, String messageClass, String tenant, String key, String tag,
             String destination, long within,
             byte[] body, Reply reply) {
             reply.send(503, 0);
         }
     }
 
-    /** More than a look can read lies in the socket as the door ends all: closed over it, the answer would go with it. */
+    /**
+     * Guards against a client that gets a reset in place of its response: when the listener closes the
+     * remaining connections, the socket holds more bytes than one read takes.
+     */
     @Test
-    public void whoHasSentAPartOfMuchReadsItsRefusalToTheEnd() throws Exception {
-        ClientListener door = new ClientListener(loop, limits, new Refusing());
-        InetSocketAddress[] at = new InetSocketAddress[1];
-        CountDownLatch open = new CountDownLatch(1);
+    public void clientThatIsStillSendingReadsItsRefusal() throws Exception {
+        ClientListener listener = new ClientListener(loop, limits, new RefusingIntake());
+        InetSocketAddress[] address = new InetSocketAddress[1];
+        CountDownLatch listening = new CountDownLatch(1);
         loop.thread().execute(() -> {
             try {
-                at[0] = door.listen(worker, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
+                address[0] = listener.listen(worker,
+                    new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            } catch (IOException exception) {
+                throw new IllegalStateException(exception);
             }
-            open.countDown();
+            listening.countDown();
         });
-        assertTrue(open.await(5, TimeUnit.SECONDS));
-        try (Socket client = new Socket(at[0].getAddress(), at[0].getPort())) {
+        assertTrue(listening.await(5, TimeUnit.SECONDS));
+        try (Socket client = new Socket(address[0].getAddress(), address[0].getPort())) {
             client.setSoTimeout(5_000);
-            OutputStream out = client.getOutputStream();
-            out.write("POST /any HTTP/1.1\r\nContent-Length: 65000\r\n\r\n0123456789"
+            OutputStream output = client.getOutputStream();
+            output.write("POST /any HTTP/1.1\r\nContent-Length: 65000\r\n\r\n0123456789"
                 .getBytes(StandardCharsets.ISO_8859_1));
-            CountDownLatch isIn = new CountDownLatch(1);
-            CountDownLatch written = new CountDownLatch(1);
-            // The head has been read by then: it has come before, and this thread serves it first.
+            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CountDownLatch bodyWritten = new CountDownLatch(1);
+            // The relay has read the head by then, since it arrived earlier and the same thread reads it
+            // first.
             RelayFixture.pause(200);
             loop.thread().execute(() -> {
-                isIn.countDown();
+                loopBlocked.countDown();
                 try {
-                    written.await();
-                } catch (InterruptedException e) {
+                    bodyWritten.await();
+                } catch (InterruptedException exception) {
                     Thread.currentThread().interrupt();
                 }
-                door.closeRemaining();
+                listener.closeRemaining();
             });
-            assertTrue(isIn.await(5, TimeUnit.SECONDS));
-            out.write(new byte[50_000]);
-            written.countDown();
+            assertTrue(loopBlocked.await(5, TimeUnit.SECONDS));
+            output.write(new byte[50_000]);
+            bodyWritten.countDown();
             assertEquals(RelayFixture.readResponse(client).status(), 503);
-            assertEquals(client.getInputStream().read(), -1, "a reset");
-            // Closed over unread bytes the connection is reset, which a client that still writes meets first. The channel
-            // goes as its thread selects the next time: it has once a second task has run.
+            assertEquals(client.getInputStream().read(), -1,
+                "the connection was reset or more data followed");
+            // A connection that is closed with unread bytes is reset, and a client that is still writing sees
+            // the reset first. The channel is closed when its thread selects the next time, which has
+            // happened once a second task has run.
             for (int i = 0; i < 2; i++) {
-                CountDownLatch round = new CountDownLatch(1);
-                loop.thread().execute(round::countDown);
-                assertTrue(round.await(5, TimeUnit.SECONDS));
+                CountDownLatch taskDone = new CountDownLatch(1);
+                loop.thread().execute(taskDone::countDown);
+                assertTrue(taskDone.await(5, TimeUnit.SECONDS));
             }
-            out.write(new byte[1_000]);
+            output.write(new byte[1_000]);
         }
     }
 }
--- a/relay/src/test/java/yewpath/WatchTest.java
+++ b/relay/src/test/java/yewpath/WatchTest.java
@@ -8,7 +8,7 @@
 
 import org.testng.annotations.Test;
 
-/** The watch on discovery's list, in whatever pieces and forms its bytes come, and however it dies. */
+/** Tests the watch of the endpoint list: how its data is split and formatted, and how it ends. */
 public final class WatchTest extends RelayFixture.RelayTest {
     private void untilListed(int destination) throws Exception {
         waitUntil("destination " + destination + " is listed", 6000,
@@ -16,9 +16,10 @@
                 7900) == 202);
     }
 
+    /** Guards against a parser that expects one list per line: an indented list spans several lines. */
     @Test
-    public void anIndentedListIsTakenUpWhole() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> OK);
+    public void indentedListIsRead() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
         fixture.start();
         fixture.publish("{\n  \"version\": 2,\n  \"full\": false,\n  \"servers\": [\n    "
             + fixture.listEntry("e9", endpoint.address(), 9, "plain", "up").replace(",", ",\n      ")
@@ -28,96 +29,115 @@
             + fixture.listEntry("e8", endpoint.address(), 8, "plain", "up") + " ] } ");
         untilListed(8);
         assertFalse(fixture.hasLogged("directory.garbled"));
-        assertEquals(fixture.watchRequests.size(), 1, "the watch was taken up anew");
+        assertEquals(fixture.watchRequests.size(), 1, "the watch was requested again");
     }
 
+    /**
+     * Guards against a list that is lost or used early when its bytes arrive one by one and no line end
+     * follows.
+     */
     @Test
-    public void aListThatComesByteByByteIsTakenUpAtItsLast() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> OK);
+    public void listSentByteByByteIsReadAtItsLastByte() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
         fixture.watchKeepAlive = false;
         fixture.start();
         String line = "{\"version\":2,\"full\":false,\"servers\":["
             + fixture.listEntry("e9", endpoint.address(), 9, "plain", "up")
             + "]}";
-        for (int i = 0; i < line.length() - 1; i++) {
-            fixture.publishPart(line.substring(i, i + 1));
+        for (int index = 0; index < line.length() - 1; index++) {
+            fixture.publishPart(line.substring(index, index + 1));
         }
         assertEquals(fixture.submit("early", "status", 9, 7900), 503);
         fixture.publishPart("}");
         untilListed(9);
     }
 
+    /**
+     * Guards against a lost update: a list is cut off inside, so the watch must be requested again from the
+     * last valid version.
+     */
     @Test
-    public void aLineCutOffIsToldAgain() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> OK);
+    public void truncatedListIsRequestedAgain() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
         fixture.start();
         String entry = fixture.listEntry("e9", endpoint.address(), 9, "plain", "up");
         fixture.initialWatchData = "{\"version\":3,\"full\":false,\"servers\":[" + entry + "]}";
         fixture.publish(
             "{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"e9\",\"ad\n{\"version\":3,\"full\":fal");
-        waitUntil("the watch is taken up anew", 3000, () -> fixture.watchRequests.size() == 2);
+        waitUntil("the watch is requested again", 3000, () -> fixture.watchRequests.size() == 2);
         assertEquals(fixture.watchRequests.get(1).replaceAll(".*since=(\\d+).*", "$1"), "1",
-            "from the version understood");
+            "the watch must be resumed from the last valid version");
         untilListed(9);
     }
 
-    /** Guards against a watch kept alive for good by bytes that never make up anything. */
+    /** Guards against a watch that is kept open for good by bytes that never form a whole list. */
     @Test
-    public void aLineThatDripsAndNeverEndsIsNoSignOfLife() throws Exception {
-        fixture.addEndpoint(1, got -> OK);
+    public void unfinishedListDoesNotKeepTheWatchAlive() throws Exception {
+        fixture.addEndpoint(1, request -> OK);
         fixture.operatorConfig = "[discovery]\nsilence = \"600 ms\"\n";
         fixture.watchKeepAlive = false;
         fixture.start();
-        int watched = fixture.watchRequests.size();
+        int initialCount = fixture.watchRequests.size();
         fixture.publishPart("{\"version\":");
-        waitUntil("the watch is taken up anew", 5000, () -> {
+        waitUntil("the watch is requested again", 5000, () -> {
             fixture.publishPart(" ");
-            return fixture.watchRequests.size() > watched;
+            return fixture.watchRequests.size() > initialCount;
         });
     }
 
-    /** What was told while no process ran comes in two pieces: nothing is sent in between. */
+    /**
+     * Guards against calls by an outdated list: the list that changed while no relay ran arrives in two
+     * parts, and nothing may be sent between them.
+     */
     @Test
-    public void nothingIsSentBeforeTheFirstListIsWhole() throws Exception {
-        RelayFixture.StubServer drained = fixture.addEndpoint("e1", 1, "plain", got -> NO_RESPONSE);
-        RelayFixture.StubServer other = fixture.addEndpoint("e2", 2, "plain", got -> OK);
+    public void nothingIsSentBeforeTheFirstListIsComplete() throws Exception {
+        RelayFixture.StubServer drained = fixture.addEndpoint("e1", 1, "plain", request -> NO_RESPONSE);
+        RelayFixture.StubServer other = fixture.addEndpoint("e2", 2, "plain", request -> OK);
         fixture.connectTimeoutMillis = 3_000;
         fixture.start();
         assertEquals(fixture.submit("r1", "status", 1, 7900), 202);
-        waitUntil("it is out", 2000, () -> drained.requests.size() == 1);
+        waitUntil("the message is sent", 2000, () -> drained.requests.size() == 1);
         fixture.kill();
         fixture.initialWatchData = "{\"version\":2,\"full\":false,\"servers\":["
             + fixture.listEntry("e3", other.address(), 1, "plain", "up") + ",";
         fixture.remainingWatchData = fixture.listEntry("e1", drained.address(), 1, "plain", "draining")
             + "]}";
-        // Longer than an answer that has begun may take for its rest, well within what a connection may take.
+        // This exceeds the time limit for the rest of a response and is well below the connect timeout.
         fixture.beforeRemainingWatchData = () -> RelayFixture.pause(900);
         fixture.start();
-        waitUntil("it is delivered where the list of now says", 4000, () -> other.requests.size() == 1);
-        assertEquals(drained.requests.size(), 1, "sent by the old list");
+        waitUntil("the message is delivered by the current list", 4000, () -> other.requests.size() == 1);
+        assertEquals(drained.requests.size(), 1, "the message was sent by the old list");
     }
 
-    /** Where lists are asked for, an empty line answers as much as a list: there is no news, and nothing is asked again. */
+    /**
+     * Guards against needless requests in the mode on_request: an empty line counts as a response that
+     * nothing has changed.
+     */
     @Test
-    public void aWatchThatLivesWithoutNewsIsNotAskedForAgain() throws Exception {
+    public void aliveWatchIsNotRequestedAgain() throws Exception {
         fixture.discoveryMode = "on_request";
-        fixture.addEndpoint(1, got -> OK);
+        fixture.addEndpoint(1, request -> OK);
         fixture.start();
-        waitUntil("it was asked for", 2000, () -> fixture.watchRequests.size() == 1);
-        // Twice as long as the module waits for an answer.
+        waitUntil("the list was requested", 2000, () -> fixture.watchRequests.size() == 1);
+        // This is twice as long as the delivery policy waits for a response.
         RelayFixture.pause(6_500);
-        assertEquals(fixture.watchRequests.size(), 1, "a living watch was dropped and asked for anew");
+        assertEquals(fixture.watchRequests.size(), 1,
+            "a watch that was alive was closed and requested again");
     }
 
-    /** Discovery returns just after a try to reach it began: what it has is taken up 6 s after that at the latest. */
+    /**
+     * Guards against a late update: discovery recovers just after an attempt to reach it started, and its
+     * list must be read within 6 s.
+     */
     @Test
-    public void whatDiscoveryHasAtItsReturnIsTakenUpInTime() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> OK);
+    public void listIsReadInTimeWhenDiscoveryRecovers() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
         fixture.start();
         fixture.watchDelayMillis = -1;
         fixture.discovery.closeConnections();
-        int watched = fixture.watchRequests.size();
-        waitUntil("it was tried some times", 12_000, () -> fixture.watchRequests.size() >= watched + 2);
+        int initialCount = fixture.watchRequests.size();
+        waitUntil("the watch was requested twice more", 12_000,
+            () -> fixture.watchRequests.size() >= initialCount + 2);
         fixture.initialWatchData = "{\"version\":2,\"full\":false,\"servers\":["
             + fixture.listEntry("e9", endpoint.address(), 9, "plain", "up") + "]}";
         fixture.watchDelayMillis = 0;
