--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -171,7 +171,7 @@
             Attempt attempt = new Attempt("just", 2_500_000, 2_500_000);
             send(attempt, socketAddress(endpoint.address()));
             waitUntil("the message is sent", 2_000, () -> endpoint.requests.size() == 1);
-            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CountDownLatch loopReleased = new CountDownLatch(1);
             loop.thread().execute(() -> {
                 try {
                     endpoint.sockets.get(0).getOutputStream().write(OK.getBytes(StandardCharsets.ISO_8859_1));
@@ -179,9 +179,9 @@
                     attempt.outcomes.add(100);
                 }
                 RelayFixture.pause(Math.max(1, (attempt.expiry - loop.nowMicros()) / 1000 + 20));
-                loopBlocked.countDown();
+                loopReleased.countDown();
             });
-            assertTrue(loopBlocked.await(5, TimeUnit.SECONDS));
+            assertTrue(loopReleased.await(5, TimeUnit.SECONDS));
             waitUntil("the attempt has ended", 2_000, () -> attempt.outcomes.size() == 1);
             assertEquals(attempt.outcomes, List.of(PolicyActions.DELIVERED));
         }
--- a/relay/src/test/java/yewpath/FaultsTest.java
+++ b/relay/src/test/java/yewpath/FaultsTest.java
@@ -22,7 +22,7 @@
 
 /** Runs a relay against stub endpoints with scripted faults; the delivery referee must find no violation. */
 public final class FaultsTest {
-    private static final long MILLI_MICROS = 1_000, SECOND_MICROS = 1_000_000;
+    private static final long MILLISECOND_MICROS = 1_000, SECOND_MICROS = 1_000_000;
     private static final List<RelayConfig.MessageClass> MESSAGE_CLASSES = List.of(
         new RelayConfig.MessageClass("status", "pure", false, 800, 3_000),
         new RelayConfig.MessageClass("serial", "token", true, 800, 3_000),
@@ -64,7 +64,7 @@
         return new Object[][]{
             {"late and missing responses",
                 "0 s: answer 200 after 5 ms to 30 ms\n0 s: silent share 0.05\n0 s: answer 200 after 900 ms every 9"},
-            {"resets before, during and after the response",
+            {"resets at the first byte, inside and after the last byte of the request",
                 "0 s: reset first share 0.1\n0 s: reset midway after 20 ms share 0.1\n0 s: reset last share 0.1"},
             {"refusals with and without Retry-After",
                 "0 s: answer 503 share 0.1\n500 ms - 900 ms: answer 429 wait 400 ms"},
@@ -96,7 +96,7 @@
         run(2_000_000, 1_000);
     }
 
-    private void run(long lengthMicros, int killAfterMs) throws Exception {
+    private void run(long lengthMicros, int killAfterMillis) throws Exception {
         String discoveryAddress = platform.openWithEndpoints(endpoints);
         List<String> command = new ArrayList<>(RelayFixture.yewpathCommand().command());
         try (RelayProcess relay = new RelayProcess(command, discoveryAddress, 0, MESSAGE_CLASSES,
@@ -106,8 +106,8 @@
                 endpoints.forEach(Endpoint::startScript);
                 submitNext(client, reactor.nowMicros() + 2 * lengthMicros);
             });
-            if (killAfterMs > 0) {
-                RelayFixture.pause(killAfterMs);
+            if (killAfterMillis > 0) {
+                RelayFixture.pause(killAfterMillis);
                 relay.kill();
                 relay.start();
             }
@@ -136,7 +136,7 @@
                 1 + random.nextInt(2),
                 index == 1 ? "k" + random.nextInt(10) : null, 3 * SECOND_MICROS,
                 new byte[random.nextInt(20) == 0 ? 40_000 : 100]);
-            reactor.schedule(5 * MILLI_MICROS, () -> submitNext(client, endMicros));
+            reactor.schedule(5 * MILLISECOND_MICROS, () -> submitNext(client, endMicros));
         }
     }
 }
--- a/relay/src/test/java/yewpath/MoveTest.java
+++ b/relay/src/test/java/yewpath/MoveTest.java
@@ -87,8 +87,7 @@
                 submitRound();
             });
             Thread.sleep(LOAD_MICROS / 1_000 + 500);
-            for (int clientIndex = 0; clientIndex < 100
-                && reactor.call(referee::openCount) > 0; clientIndex++) {
+            for (int polls = 0; polls < 100 && reactor.call(referee::openCount) > 0; polls++) {
                 Thread.sleep(50);
             }
             assertEquals(List.of(oldRelay.terminate(), newRelay.terminate()), List.of(0, 0));
