--- a/relay/src/main/java/yewpath/boot/Names.java
+++ b/relay/src/main/java/yewpath/boot/NameTable.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /** Ids to small indices and back; an index is used again once its id has been let go. */
-public final class Names {
+public final class NameTable {
     private final Map<String, Integer> indices = new HashMap<>();
     private final List<String> names = new ArrayList<>();
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
 
     /** Returns the index of a name, a new or reused one where it has none yet. */
-    public int of(String name) {
+    public int getOrAdd(String name) {
         Integer known = indices.get(name);
         if (known != null) {
             return known;
@@ -39,7 +39,7 @@
     }
 
     /** Frees an index; another name may get it. */
-    public void letGo(int index) {
+    public void release(int index) {
         indices.remove(names.get(index));
         names.set(index, null);
         free.add(index);
--- a/relay/src/main/java/yewpath/boot/Boot.java
+++ b/relay/src/main/java/yewpath/boot/PlatformSettings.java
@@ -6,39 +6,39 @@
 import yewpath.PolicySettings;
 
 /** The settings by path, from either wire; keys it does not know are skipped, absent ones read as off. */
-public final class Boot {
-    public final PolicySettings settings = new PolicySettings();
-    public final Names zones = new Names();
-    public final Names kinds = new Names();
-    public final Names offerings = new Names();
-    public final Names tenants = new Names();
+public final class PlatformSettings {
+    public final PolicySettings policySettings = new PolicySettings();
+    public final NameTable zones = new NameTable();
+    public final NameTable kinds = new NameTable();
+    public final NameTable messageClasses = new NameTable();
+    public final NameTable tenants = new NameTable();
     public final List<String> reportFields;
-    public int leftColumn = -1;
-    public int limitColumn = -1;
+    public int remainingShareColumn = -1;
+    public int reportedLimitColumn = -1;
     private final Map<String, String> pairs;
     private final boolean written;
 
     /** Reads settings from path=value fields, from the given index on. */
-    public static Boot ofFields(String[] fields, int first) {
+    public static PlatformSettings ofFields(String[] fields, int first) {
         Map<String, String> pairs = new HashMap<>();
         for (int i = first; i < fields.length; i++) {
             int equals = fields[i].indexOf('=');
             if (equals <= 0) {
-                throw new Malformed("a setting without a value: " + fields[i]);
+                throw new InvalidInputException("a setting without a value: " + fields[i]);
             }
             pairs.put(fields[i].substring(0, equals), fields[i].substring(equals + 1));
         }
-        return new Boot(pairs, false);
+        return new PlatformSettings(pairs, false);
     }
 
     /**
      * {@code written}: a file that somebody wrote, whose faults are refused. A wire may well tell what belongs to no
      * deployment whole, and is taken as it is.
      */
-    public Boot(Map<String, String> pairs, boolean written) {
+    public PlatformSettings(Map<String, String> pairs, boolean written) {
         this.pairs = pairs;
         this.written = written;
-        PolicySettings s = settings;
+        PolicySettings s = policySettings;
         s.relayCount = (int) number("balancers");
         s.relayIndex = (int) number("ordinal");
         s.maxConcurrentCalls = (int) number("family_info.max_calls");
@@ -68,7 +68,7 @@
         s.idleConnectionTimeoutMicros = micros("limits.conn_idle_ms");
         String[] zoneNames = list("zones");
         for (String zone : zoneNames) {
-            zones.of(zone);
+            zones.getOrAdd(zone);
         }
         String locality = pairs.get("locality");
         s.zone = locality == null ? -1 : zones.find(locality);
@@ -89,14 +89,14 @@
         s.limitPerEndpoint = new boolean[kindNames.length];
         s.maxBatchSize = new int[kindNames.length];
         for (int i = 0; i < kindNames.length; i++) {
-            kinds.of(kindNames[i]);
+            kinds.getOrAdd(kindNames[i]);
             s.limitPerEndpoint[i] = i < apart.length && isYes(apart[i]);
             s.maxBatchSize[i] = i < bundle.length ? (int) parse("family_info.bundle_max." + i, bundle[i]) : 1;
         }
         s.messageClasses = new PolicySettings.MessageClass[(int) number("request_classes.count")];
         for (int i = 0; i < s.messageClasses.length; i++) {
             String at = "request_classes." + i + ".";
-            offerings.of(pairs.getOrDefault(at + "name", "#" + i));
+            messageClasses.getOrAdd(pairs.getOrDefault(at + "name", "#" + i));
             s.messageClasses[i] = new PolicySettings.MessageClass(number(at + "worth"),
                 number(at + "late_worth"),
                 micros(at + "on_time_ms"), micros(at + "give_up_ms"), kind(at + "repeat"),
@@ -106,16 +106,16 @@
         s.tenants = new PolicySettings.Tenant[(int) number("tenants.count")];
         for (int i = 0; i < s.tenants.length; i++) {
             String at = "tenants." + i + ".";
-            tenants.of(pairs.getOrDefault(at + "name", "#" + i));
+            tenants.getOrAdd(pairs.getOrDefault(at + "name", "#" + i));
             s.tenants[i] = new PolicySettings.Tenant(number(at + "quota_per_s"), number(at + "portion"));
         }
         String[] report = list("load_report.fields");
         reportFields = List.of(report);
         for (int i = 0; i < report.length; i++) {
             if (report[i].equals("x0")) {
-                leftColumn = i;
+                remainingShareColumn = i;
             } else if (report[i].equals("x1")) {
-                limitColumn = i;
+                reportedLimitColumn = i;
             }
         }
     }
@@ -148,7 +148,7 @@
 
     private void refuse(boolean wrong, String fault) {
         if (written && wrong) {
-            throw new Malformed(fault);
+            throw new InvalidInputException(fault);
         }
     }
 
@@ -174,7 +174,7 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new Malformed(path + " is not a number: " + value);
+            throw new InvalidInputException(path + " is not a number: " + value);
         }
     }
 
--- a/relay/src/main/java/yewpath/command/Main.java
+++ b/relay/src/main/java/yewpath/command/Main.java
@@ -15,7 +15,7 @@
 import yewpath.relay.Config;
 import yewpath.relay.ProcessSignals;
 import yewpath.relay.RelayServer;
-import yewpath.relay.TrialStart;
+import yewpath.relay.StartCheck;
 import yewpath.wirehost.WireHost;
 
 /**
@@ -162,7 +162,7 @@
         throws InterruptedException {
         try {
             RelayServer.start(Config.read(options.config, options.operator, System.getenv()), signals);
-        } catch (IOException | Config.Fault e) {
+        } catch (IOException | Config.InvalidConfigException e) {
             fail(e.getMessage());
         } catch (RuntimeException | Error e) {
             fail("cannot start: " + e);
@@ -171,9 +171,9 @@
 
     private static void check(ConfigurationOptions options) throws Exception {
         try {
-            System.out.println(TrialStart.run(options.config, options.operator, System.getenv()));
+            System.out.println(StartCheck.run(options.config, options.operator, System.getenv()));
             System.exit(0);
-        } catch (IOException | Config.Fault e) {
+        } catch (IOException | Config.InvalidConfigException e) {
             fail(e.getMessage());
         }
     }
--- a/relay/src/main/java/yewpath/delivery/Call.java
+++ b/relay/src/main/java/yewpath/delivery/Call.java
@@ -17,25 +17,25 @@
     public interface Attempt {
         String id();
 
-        String key();
+        String affinityKey();
 
         /** By which the endpoint knows it again; null where it has none. */
-        String tag();
+        String idempotencyKey();
 
         byte[] body();
 
-        long expiry();
+        long deadlineMicros();
 
         /** What has not left whole by then is taken back. */
-        long leaveBy();
+        long sendByMicros();
 
         /** Just before the call's bytes leave. */
-        void leaving();
+        void beforeSend();
 
-        void ended(int outcome, long wait, boolean over, double left, double limit);
+        void onEnd(int outcome, long wait, boolean over, double left, double limit);
 
         /** After all of the call have ended: it is out no more. */
-        void callOver();
+        void onCallEnd();
     }
 
     private static final int HTTP_OK = 200;
@@ -76,9 +76,9 @@
             Attempt one = this.attempts[i];
             // An envelope sent alone may come again only once this call is over: several end together, but
             // none after its expiry.
-            timers[i] = loop.schedule(Math.min(endsAt, one.expiry()) - loop.nowMicros(),
+            timers[i] = loop.schedule(Math.min(endsAt, one.deadlineMicros()) - loop.nowMicros(),
                 () -> giveUp(one, PolicyActions.TIMEOUT));
-            leaveTimers[i] = loop.schedule(one.leaveBy() - loop.nowMicros(), this::takeBackIfLate);
+            leaveTimers[i] = loop.schedule(one.sendByMicros() - loop.nowMicros(), this::takeBackIfLate);
         }
     }
 
@@ -111,7 +111,7 @@
      */
     private boolean takeBackIfLate() {
         for (int i = 0; i < attempts.length; i++) {
-            if (timers[i] != null && loop.nowMicros() >= attempts[i].leaveBy()
+            if (timers[i] != null && loop.nowMicros() >= attempts[i].sendByMicros()
                 && !connection.isSendComplete()) {
                 takeBack();
                 return true;
@@ -139,7 +139,7 @@
         }
         if (!begun
             || !connection.isSendComplete()
-                && (outcome == PolicyActions.CANCELLED || loop.nowMicros() >= one.expiry())) {
+                && (outcome == PolicyActions.CANCELLED || loop.nowMicros() >= one.deadlineMicros())) {
             // Nothing of it has arrived whole: a once-only envelope is not in doubt for a connection slow to open.
             takeBack();
             return;
@@ -168,14 +168,14 @@
                 leaveTimers[i].cancel();
                 timers[i] = null;
                 open--;
-                one.ended(outcome, wait, over, left, limit);
+                one.onEnd(outcome, wait, over, left, limit);
                 if (open == 0) {
                     if (restWithin != null) {
                         restWithin.cancel();
                     }
                     delivery.over(this);
                     for (Attempt each : attempts) {
-                        each.callOver();
+                        each.onCallEnd();
                     }
                 }
             }
@@ -194,7 +194,7 @@
             return false;
         }
         for (Attempt one : attempts) {
-            one.leaving();
+            one.beforeSend();
         }
         if (!delivery.attemptsAreWritten()) {
             takeBack();
--- a/relay/src/main/java/yewpath/delivery/CallRequest.java
+++ b/relay/src/main/java/yewpath/delivery/CallRequest.java
@@ -22,12 +22,12 @@
         HttpMessageBuilder head = HttpMessageBuilder.request("POST", "/inbox", address)
             .header("Request-Id", one.id())
             .header("Request-Timeout", within + "u");
-        if (one.key() != null) {
-            head.header("Affinity-Key", one.key());
+        if (one.affinityKey() != null) {
+            head.header("Affinity-Key", one.affinityKey());
         }
-        if (one.tag() != null) {
+        if (one.idempotencyKey() != null) {
             // Without it an endpoint would take a second shot for another envelope.
-            head.header("Idempotency-Key", one.tag());
+            head.header("Idempotency-Key", one.idempotencyKey());
         }
         return head.build(one.body());
     }
@@ -38,14 +38,15 @@
      */
     private static byte[] bulk(InetSocketAddress address, List<Call.Attempt> attempts, long within) {
         List<Call.Attempt> ordered = new ArrayList<>(attempts);
-        ordered.sort(Comparator.comparingLong(Call.Attempt::expiry).reversed());
+        ordered.sort(Comparator.comparingLong(Call.Attempt::deadlineMicros).reversed());
         byte[] items = Json.write(out -> {
             out.writeStartArray();
             for (Call.Attempt one : ordered) {
                 out.writeStartObject();
                 out.writeStringField("id", one.id());
-                if (one.tag() != null || one.key() != null) {
-                    out.writeStringField("key", one.tag() != null ? one.tag() : one.key());
+                if (one.idempotencyKey() != null || one.affinityKey() != null) {
+                    out.writeStringField("key",
+                        one.idempotencyKey() != null ? one.idempotencyKey() : one.affinityKey());
                 }
                 out.writeFieldName("body");
                 out.writeBinary(Base64Variants.MIME_NO_LINEFEEDS, one.body(), 0, one.body().length);
--- a/relay/src/main/java/yewpath/delivery/Delivery.java
+++ b/relay/src/main/java/yewpath/delivery/Delivery.java
@@ -45,21 +45,21 @@
         return writeAttempts.getAsBoolean();
     }
 
-    public int callsOut() {
+    public int callsInFlight() {
         return callsOut.size();
     }
 
-    public int links() {
+    public int connectionCount() {
         return links;
     }
 
     /** Sets the address of an endpoint; at a new one, connections to the old are closed. */
-    public void place(int endpoint, InetSocketAddress address) {
+    public void setAddress(int endpoint, InetSocketAddress address) {
         if (endpoint >= addresses.length) {
             addresses = Arrays.copyOf(addresses, endpoint * 2);
         }
         if (!address.equals(addresses[endpoint])) {
-            shut(endpoint);
+            stopSending(endpoint);
         }
         addresses[endpoint] = address;
     }
@@ -69,21 +69,21 @@
      * is still to come up, which would leave long after that was told, and against connections that lie idle, or will once
      * their call is over, and would be used for what the list has under this index later.
      */
-    public void shut(int endpoint) {
+    public void stopSending(int endpoint) {
         addresses[endpoint] = null;
-        takeBackUnsent(endpoint);
+        cancelUnsentCalls(endpoint);
         closeIdle(endpoint);
     }
 
     /** Sends envelopes as one call that ends {@code endsAt} at the latest. */
-    public Call call(int endpoint, List<Call.Attempt> attempts, long endsAt) {
+    public Call startCall(int endpoint, List<Call.Attempt> attempts, long endsAt) {
         Call call = out(endpoint, connection(endpoint), attempts, endsAt);
-        begin(call, endsAt);
+        startPreparedCall(call, endsAt);
         return call;
     }
 
     /** One that {@link #begin} is to send later; until then it can be taken back like one that has not left. */
-    public Call prepare(int endpoint, List<Call.Attempt> attempts, long endsAt) {
+    public Call prepareCall(int endpoint, List<Call.Attempt> attempts, long endsAt) {
         return out(endpoint, opened(endpoint), attempts, endsAt);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** Does nothing where it has ended meanwhile. */
-    public void begin(Call call, long endsAt) {
+    public void startPreparedCall(Call call, long endsAt) {
         if (call.isOver()) {
             return;
         }
@@ -109,7 +109,7 @@
     }
 
     /** Calls whose connection is still to come up don't leave. */
-    public void takeBackUnsent(int endpoint) {
+    public void cancelUnsentCalls(int endpoint) {
         for (Call call : new ArrayList<>(callsOut)) {
             if (call.endpoint == endpoint && !call.connection.isSendStarted()) {
                 call.takeBack();
--- a/relay/src/main/java/yewpath/relay/Config.java
+++ b/relay/src/main/java/yewpath/relay/Config.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import yewpath.boot.Boot;
-import yewpath.boot.Malformed;
+import yewpath.boot.PlatformSettings;
+import yewpath.boot.InvalidInputException;
 import yewpath.configuration.ConfigurationException;
 import yewpath.directory.EndpointList;
 import yewpath.json.Json;
@@ -19,10 +19,10 @@
 /** What a relay is told at its start, by file and environment; the latter wins. */
 public final class Config {
     /** Something in it that the relay cannot start with. */
-    public static final class Fault extends Exception {
+    public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Fault(String message) {
+        InvalidConfigException(String message) {
             super(message, null, false, false);
         }
     }
@@ -32,12 +32,12 @@
     public final InetSocketAddress discovery;
     public final Path state;
     public final long seed;
-    public final Boot boot;
+    public final PlatformSettings platformSettings;
     public final Limits limits;
     /** The list of endpoints as last held; null where none is told. */
     EndpointList known;
     /** What the operator's file says, or all at its default. */
-    public final OperatorSettings operator;
+    public final OperatorSettings operatorSettings;
     final String operatorFile;
     private final String file;
     private final Map<String, String> environment;
@@ -46,7 +46,7 @@
         Map<String, String> environment) {
         this.file = file;
         this.operatorFile = operatorFile;
-        this.operator = operator;
+        this.operatorSettings = operator;
         this.environment = environment;
         Map<String, String> flat = new HashMap<>();
         Map<String, String> settings = new HashMap<>();
@@ -71,12 +71,13 @@
             throw new IllegalArgumentException("seed is not hexadecimal: " + told);
         }
         seed = Long.parseUnsignedLong(told, 16);
-        boot = new Boot(settings, true);
-        if (boot.settings.messageClasses.length == 0) {
+        platformSettings = new PlatformSettings(settings, true);
+        if (platformSettings.policySettings.messageClasses.length == 0) {
             throw new IllegalArgumentException("settings name no request_classes");
         }
-        limits = new Limits(name -> figure(flat, "limits." + name), boot.settings.connectTimeoutMicros,
-            boot.settings.idleConnectionTimeoutMicros, operator);
+        limits = new Limits(name -> figure(flat, "limits." + name),
+            platformSettings.policySettings.connectTimeoutMicros,
+            platformSettings.policySettings.idleConnectionTimeoutMicros, operator);
     }
 
     private static double figure(Map<String, String> flat, String path) {
@@ -102,7 +103,7 @@
      * The same file as it stands now. What it says of discovery wins this time: the environment is that of the
      * start, and can't have moved with it.
      */
-    Config again() throws Fault {
+    Config again() throws InvalidConfigException {
         Map<String, String> rest = new HashMap<>(environment);
         rest.remove("NODE_DISCOVERY");
         return read(file, operatorFile, rest);
@@ -110,20 +111,20 @@
 
     /** {@code file} may be null, which leaves it to $NODE_CONFIG; {@code operatorFile} may be, too. */
     public static Config read(String file, String operatorFile, Map<String, String> environment)
-        throws Fault {
+        throws InvalidConfigException {
         String path = file != null ? file : environment.get("NODE_CONFIG");
         if (path == null || path.isEmpty()) {
-            throw new Fault("no configuration: name a file by --config or $NODE_CONFIG");
+            throw new InvalidConfigException("no configuration: name a file by --config or $NODE_CONFIG");
         }
         try {
             OperatorSettings operator = OperatorFile.read(operatorFile);
             return new Config(path, Files.readAllBytes(Path.of(path)), operatorFile, operator, environment);
         } catch (ConfigurationException faults) {
-            throw new Fault(faults.getMessage());
+            throw new InvalidConfigException(faults.getMessage());
         } catch (IOException e) {
-            throw new Fault(path + " cannot be read: " + e.getMessage());
-        } catch (IllegalArgumentException | Malformed e) {
-            throw new Fault(path + ": " + e.getMessage());
+            throw new InvalidConfigException(path + " cannot be read: " + e.getMessage());
+        } catch (IllegalArgumentException | InvalidInputException e) {
+            throw new InvalidConfigException(path + ": " + e.getMessage());
         }
     }
 }
--- a/relay/src/main/java/yewpath/relay/Endpoints.java
+++ b/relay/src/main/java/yewpath/relay/Endpoints.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 import java.util.BitSet;
 import yewpath.DeliveryPolicy;
-import yewpath.boot.Boot;
-import yewpath.boot.Names;
+import yewpath.boot.PlatformSettings;
+import yewpath.boot.NameTable;
 import yewpath.delivery.Delivery;
 import yewpath.directory.EndpointList;
 import yewpath.events.Event;
@@ -15,11 +15,11 @@
 final class Endpoints implements EndpointList.Listener {
     private static final int UP = 0;
 
-    private final Boot boot;
+    private final PlatformSettings platformSettings;
     private final DeliveryPolicy logic;
     private final Delivery delivery;
-    private final Names ids = new Names();
-    private final Names destinations = new Names();
+    private final NameTable ids = new NameTable();
+    private final NameTable destinations = new NameTable();
     /** Those that a list has named; a restored envelope may bring others. */
     private final BitSet served = new BitSet();
     private String[] zones = new String[32];
@@ -31,8 +31,8 @@
     private final BitSet unnamed = new BitSet();
     private boolean starting;
 
-    Endpoints(Boot boot, DeliveryPolicy logic, Delivery delivery) {
-        this.boot = boot;
+    Endpoints(PlatformSettings platformSettings, DeliveryPolicy logic, Delivery delivery) {
+        this.platformSettings = platformSettings;
         this.logic = logic;
         this.delivery = delivery;
     }
@@ -53,7 +53,7 @@
     }
 
     int destination(String name) {
-        return destinations.of(name);
+        return destinations.getOrAdd(name);
     }
 
     /** As the list has it; of one that no list names any more, its index. */
@@ -72,7 +72,7 @@
 
     /** A wait was told: what has not left yet would arrive in the middle of it. */
     void waitTold(int endpoint) {
-        known.stream().filter(at -> routes[at] == routes[endpoint]).forEach(delivery::takeBackUnsent);
+        known.stream().filter(at -> routes[at] == routes[endpoint]).forEach(delivery::cancelUnsentCalls);
     }
 
     @Override
@@ -89,42 +89,43 @@
         String destination,
         int phase,
         double rate, long since) {
-        int at = ids.of(id);
+        int at = ids.getOrAdd(id);
         if (at >= zones.length) {
             zones = Arrays.copyOf(zones, at * 2);
             bundles = Arrays.copyOf(bundles, at * 2);
             routes = Arrays.copyOf(routes, at * 2);
         }
-        int kindAt = boot.kinds.of(kind);
+        int kindAt = platformSettings.kinds.getOrAdd(kind);
         known.set(at);
         unnamed.clear(at);
         zones[at] = zone;
-        bundles[at] = kindAt < boot.settings.maxBatchSize.length ? boot.settings.maxBatchSize[kindAt] : 1;
-        boolean apart = kindAt < boot.settings.limitPerEndpoint.length
-            && boot.settings.limitPerEndpoint[kindAt];
-        int to = destinations.of(destination);
+        bundles[at] = kindAt < platformSettings.policySettings.maxBatchSize.length
+            ? platformSettings.policySettings.maxBatchSize[kindAt] : 1;
+        boolean apart = kindAt < platformSettings.policySettings.limitPerEndpoint.length
+            && platformSettings.policySettings.limitPerEndpoint[kindAt];
+        int to = destinations.getOrAdd(destination);
         served.set(to);
         routes[at] = apart ? -1 - at : to;
-        delivery.place(at, address);
+        delivery.setAddress(at, address);
         if (phase != UP) {
-            delivery.shut(at);
+            delivery.stopSending(at);
         }
         if (Log.isEnabled(Event.ENDPOINT_LISTED)) {
             Log.log(Event.ENDPOINT_LISTED, id, address, destination,
                 phase == UP ? "up" : phase == 1 ? "draining" : "removed");
         }
-        logic.endpointListed(at, boot.zones.of(zone), kindAt, to, phase, rate, since);
+        logic.endpointListed(at, platformSettings.zones.getOrAdd(zone), kindAt, to, phase, rate, since);
     }
 
     void forget(int endpoint) {
         known.clear(endpoint);
-        ids.letGo(endpoint);
-        delivery.shut(endpoint);
+        ids.release(endpoint);
+        delivery.stopSending(endpoint);
     }
 
     @Override
     public void listEnded() {
-        unnamed.stream().forEach(delivery::shut);
+        unnamed.stream().forEach(delivery::stopSending);
         logic.endpointListEnded();
     }
 }
--- a/relay/src/main/java/yewpath/relay/HeldMessages.java
+++ b/relay/src/main/java/yewpath/relay/HeldMessages.java
@@ -1,19 +1,19 @@
 package yewpath.relay;
 
 import java.util.Arrays;
-import yewpath.boot.Keys;
-import yewpath.boot.Names;
+import yewpath.boot.KeyTable;
+import yewpath.boot.NameTable;
 import yewpath.ledger.LedgerEntry;
 
 /** The envelopes held, under small indices that are used again once nothing of an envelope is left. */
 final class HeldMessages {
-    private final Names ids = new Names();
-    private final Keys keys;
+    private final NameTable ids = new NameTable();
+    private final KeyTable keys;
     private HeldMessage[] held = new HeldMessage[64];
     private int open;
 
     HeldMessages(long keyRest) {
-        keys = new Keys(keyRest);
+        keys = new KeyTable(keyRest);
     }
 
     int open() {
@@ -29,9 +29,9 @@
     }
 
     HeldMessage add(LedgerEntry entry, long now) {
-        int index = ids.of(entry.id);
+        int index = ids.getOrAdd(entry.id);
         held = index >= held.length ? Arrays.copyOf(held, index * 2) : held;
-        held[index] = new HeldMessage(entry, index, entry.key == null ? -1 : keys.hold(entry.key, now));
+        held[index] = new HeldMessage(entry, index, entry.key == null ? -1 : keys.acquire(entry.key, now));
         open++;
         return held[index];
     }
@@ -47,7 +47,7 @@
         if (one.over && one.shotsOut == 0 && held[one.index] == one) {
             keys.release(one.key, now);
             held[one.index] = null;
-            ids.letGo(one.index);
+            ids.release(one.index);
         }
     }
 }
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -10,7 +10,7 @@
 import yewpath.DeliveryPolicy;
 import yewpath.PolicyActions;
 import yewpath.PolicySettings;
-import yewpath.boot.Boot;
+import yewpath.boot.PlatformSettings;
 import yewpath.delivery.Call;
 import yewpath.delivery.Delivery;
 import yewpath.directory.DiscoveryClient;
@@ -49,7 +49,7 @@
     private final EventLoop loop;
     private final Ledger ledger;
     private final LedgerWriter ledgerWriter;
-    private final Boot boot;
+    private final PlatformSettings platformSettings;
     private final DeliveryPolicy logic;
     private final Delivery delivery;
     private final NoticeSender notices;
@@ -76,11 +76,12 @@
     Relay(Config config, EventLoop loop, Ledger ledger) {
         this.loop = loop;
         this.ledger = ledger;
-        boot = config.boot;
+        platformSettings = config.platformSettings;
         Limits limits = config.limits;
-        PolicySettings settings = boot.settings;
+        PolicySettings settings = platformSettings.policySettings;
         unknownOffering = settings.messageClasses.length;
-        if (ledger.entries().stream().anyMatch(entry -> boot.offerings.find(entry.messageClass) < 0)) {
+        if (ledger.entries().stream()
+            .anyMatch(entry -> platformSettings.messageClasses.find(entry.messageClass) < 0)) {
             addUnknown(settings);
         }
         // A call that finds all connections in use would have none: what Logic may have out is what can be held.
@@ -91,10 +92,10 @@
         closing = new Shutdown(loop, limits);
         notices = new NoticeSender(loop, limits, config.discovery, this::told);
         ledgerWriter = new LedgerWriter(loop, ledger, notices::add);
-        delivery = new Delivery(loop, limits, boot.reportFields, ledgerWriter::flush);
+        delivery = new Delivery(loop, limits, platformSettings.reportFields, ledgerWriter::flush);
         loop.setRoundAction(this::round);
         logic = new DeliveryPolicy(settings, config.seed, this, loop.nowMicros());
-        endpoints = new Endpoints(boot, logic, delivery);
+        endpoints = new Endpoints(platformSettings, logic, delivery);
         watch = new DiscoveryClient(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
             settings.listOnRequest ? () -> loop.enqueue(logic::endpointListFailed) : null);
         if (!settings.listOnRequest) {
@@ -138,9 +139,9 @@
             owe(entry);
             return;
         }
-        int offering = boot.offerings.find(entry.messageClass);
+        int offering = platformSettings.messageClasses.find(entry.messageClass);
         hand(envelopes.add(entry, loop.nowMicros()), offering < 0 ? unknownOffering : offering,
-            boot.zones.of(entry.uncertainZone));
+            platformSettings.zones.getOrAdd(entry.uncertainZone));
         if (Log.isEnabled(Event.MESSAGE_RESTORED)) {
             Log.log(Event.MESSAGE_RESTORED, entry.id, entry.attempts, entry.uncertainSinceMicros >= 0);
         }
@@ -149,7 +150,7 @@
     private void hand(HeldMessage one, int offering, int doubtZone) {
         LedgerEntry entry = one.entry;
         logic.messageAccepted(one.index, offering,
-            entry.tenant == null ? -1 : boot.tenants.find(entry.tenant), one.key,
+            entry.tenant == null ? -1 : platformSettings.tenants.find(entry.tenant), one.key,
             endpoints.destination(entry.destination), entry.deadlineMicros, entry.attempts,
             entry.uncertainSinceMicros, doubtZone);
     }
@@ -203,7 +204,7 @@
 
     @Override
     public boolean isKnownClass(String offering) {
-        return boot.offerings.find(offering) >= 0;
+        return platformSettings.messageClasses.find(offering) >= 0;
     }
 
     @Override
@@ -211,8 +212,8 @@
         return Json.write(out -> {
             out.writeStartObject();
             out.writeNumberField("open", envelopes.open());
-            out.writeNumberField("calls_out", delivery.callsOut());
-            out.writeNumberField("endpoint_links", delivery.links());
+            out.writeNumberField("calls_out", delivery.callsInFlight());
+            out.writeNumberField("endpoint_links", delivery.connectionCount());
             out.writeNumberField("notices_owed", notices.unacknowledgedCount());
             out.writeNumberField("ledger_bytes", ledger.fileBytes());
             out.writeBooleanField("ledger_writable", ledger.isWritable());
@@ -265,7 +266,7 @@
                 (expiry - loop.nowMicros()) / 1000,
                 body.length);
         }
-        hand(one, boot.offerings.find(offering), 0);
+        hand(one, platformSettings.messageClasses.find(offering), 0);
     }
 
     private void refuse(String id, String why, Reply reply) {
@@ -334,25 +335,27 @@
         for (HeldMessage one : sending.carried) {
             one.attempt = new Shot(one, sending.endpoint);
             if (one.left) {
-                one.attempt.ended(NOT_EXECUTED, 0, true, Double.NaN, Double.NaN);
-                one.attempt.callOver();
+                one.attempt.onEnd(NOT_EXECUTED, 0, true, Double.NaN, Double.NaN);
+                one.attempt.onCallEnd();
             } else if (isOrdered(one.entry) && keyOrder.isHeld(one.entry.key)) {
-                Call waits = delivery.prepare(sending.endpoint, List.of(one.attempt), sending.endsAt);
+                Call waits = delivery.prepareCall(sending.endpoint, List.of(one.attempt), sending.endsAt);
                 one.call = waits;
-                keyOrder.whenOver(one.entry.key, () -> delivery.begin(waits, sending.endsAt));
+                keyOrder.whenOver(one.entry.key, () -> delivery.startPreparedCall(waits, sending.endsAt));
             } else {
                 attempts.add(one.attempt);
                 with.add(one);
             }
         }
-        Call call = attempts.isEmpty() ? null : delivery.call(sending.endpoint, attempts, sending.endsAt);
+        Call call = attempts.isEmpty() ? null
+            : delivery.startCall(sending.endpoint, attempts, sending.endsAt);
         with.forEach(one -> one.call = call);
     }
 
     /** One of an offering that is not known any more may have been. */
     private boolean isOrdered(LedgerEntry entry) {
-        int offering = boot.offerings.find(entry.messageClass);
-        return entry.key != null && (offering < 0 || boot.settings.messageClasses[offering].ordered());
+        int offering = platformSettings.messageClasses.find(entry.messageClass);
+        return entry.key != null
+            && (offering < 0 || platformSettings.policySettings.messageClasses[offering].ordered());
     }
 
     /** An envelope's part in a call, and what its end leaves to be done. */
@@ -374,12 +377,12 @@
         }
 
         @Override
-        public String key() {
+        public String affinityKey() {
             return one.entry.key;
         }
 
         @Override
-        public String tag() {
+        public String idempotencyKey() {
             return one.entry.idempotencyKey;
         }
 
@@ -389,17 +392,17 @@
         }
 
         @Override
-        public long expiry() {
+        public long deadlineMicros() {
             return one.entry.deadlineMicros;
         }
 
         @Override
-        public long leaveBy() {
+        public long sendByMicros() {
             return one.leaveBy;
         }
 
         @Override
-        public void leaving() {
+        public void beforeSend() {
             ledger.recordAttempt(one.entry, loop.nowMicros(), endpoints.zone(endpoint));
             if (Log.isEnabled(Event.ATTEMPT_STARTED)) {
                 Log.log(Event.ATTEMPT_STARTED, one.entry.id, number, endpoints.name(endpoint));
@@ -407,7 +410,7 @@
         }
 
         @Override
-        public void ended(int outcome, long wait, boolean over, double left, double limit) {
+        public void onEnd(int outcome, long wait, boolean over, double left, double limit) {
             long elapsed = loop.nowMicros() - sentAt;
             if (isOrdered(one.entry)) {
                 keyOrder.begin(one.entry.key, this);
@@ -419,7 +422,7 @@
         }
 
         @Override
-        public void callOver() {
+        public void onCallEnd() {
             keyOrder.end(this);
         }
 
@@ -550,8 +553,8 @@
     // ---- Closing
 
     void close(ClientListener listener, CountDownLatch gone) {
-        Log.log(Event.RELAY_CLOSING, envelopes.open(), delivery.callsOut());
-        closing.begin(listener, () -> delivery.callsOut() > 0 || notices.isSending(),
+        Log.log(Event.RELAY_CLOSING, envelopes.open(), delivery.callsInFlight());
+        closing.begin(listener, () -> delivery.callsInFlight() > 0 || notices.isSending(),
             () -> envelopes.open() > 0,
             gone);
     }
@@ -559,6 +562,6 @@
     /** The last words, once closing is done. */
     void closed() {
         ledger.compact();
-        Log.log(Event.RELAY_CLOSED, ledger.size(), delivery.callsOut());
+        Log.log(Event.RELAY_CLOSED, ledger.size(), delivery.callsInFlight());
     }
 }
--- a/relay/src/main/java/yewpath/relay/RelayServer.java
+++ b/relay/src/main/java/yewpath/relay/RelayServer.java
@@ -28,9 +28,9 @@
     private RelayServer() {}
 
     /** A relay that takes envelopes, and where it listens. */
-    public record Running(InetSocketAddress at, EventLoop loop, Ledger ledger) {
+    public record Running(InetSocketAddress address, EventLoop loop, Ledger ledger) {
         /** Leaves the lasting folder alone from now on, so that it can be removed. */
-        public void letFolderGo() throws InterruptedException {
+        public void closeLedger() throws InterruptedException {
             CountDownLatch closed = new CountDownLatch(1);
             loop.thread().execute(() -> {
                 ledger.close();
@@ -43,7 +43,7 @@
     /** Returns once the relay takes envelopes; it goes on until the process ends. */
     public static Running start(Config config, ProcessSignals asked)
         throws IOException, InterruptedException {
-        logAsTold(config.operator);
+        logAsTold(config.operatorSettings);
         Clock clock = new Clock();
         Ledger ledger = open(config, clock);
         XnioWorker worker = Xnio.getInstance("nio", RelayServer.class.getClassLoader())
@@ -115,19 +115,20 @@
         Config anew;
         try {
             anew = inForce[0].again();
-        } catch (Config.Fault e) {
+        } catch (Config.InvalidConfigException e) {
             Log.log(Event.RELAY_RELOAD_REFUSED, List.of(e.getMessage().split("\n")));
             return;
         }
         Config old = inForce[0];
         inForce[0] = anew;
-        logAsTold(anew.operator);
+        logAsTold(anew.operatorSettings);
         loop.thread().execute(() -> {
-            started.limits.update(anew.operator);
+            started.limits.update(anew.operatorSettings);
             relay.discoveryAt(anew.discovery);
         });
-        Log.log(Event.RELAY_RELOADED, anew.discovery, old.operator.changedKeys(anew.operator, true),
-            started.operator.changedKeys(anew.operator, false));
+        Log.log(Event.RELAY_RELOADED, anew.discovery,
+            old.operatorSettings.changedKeys(anew.operatorSettings, true),
+            started.operatorSettings.changedKeys(anew.operatorSettings, false));
     }
 
     private static void end(EventLoop loop, Relay relay, ClientListener listener, Config config) {
--- a/relay/src/main/java/yewpath/relay/TrialStart.java
+++ b/relay/src/main/java/yewpath/relay/StartCheck.java
@@ -14,12 +14,12 @@
  * A start on trial: tells whether a configuration serves. The build runs it too, so that the classes a start
  * needs are written to an archive: a relay that restarts is back in half the time.
  */
-public final class TrialStart {
-    private TrialStart() {}
+public final class StartCheck {
+    private StartCheck() {}
 
     /** Starts a relay in an empty folder on a free port, hands in one message and returns what to print. */
     public static String run(String file, String operatorFile, Map<String, String> environment)
-        throws Config.Fault,
+        throws Config.InvalidConfigException,
         IOException, InterruptedException {
         Map<String, String> aside = new HashMap<>(environment);
         aside.put("NODE_LISTEN", "127.0.0.1:0");
@@ -34,15 +34,15 @@
                 + "\"zone\":\"check\",\"kind\":\"check\",\"cell\":0,\"state\":\"draining\",\"weight\":1.0,"
                 + "\"started_ms\":0}]}").getBytes(StandardCharsets.UTF_8));
         RelayServer.Running relay = RelayServer.start(config, ProcessSignals.listen());
-        String ready = ask(relay.at(), "GET /health/ready HTTP/1.1\r\n\r\n");
-        String taken = ask(relay.at(),
-            "POST /" + config.boot.offerings.name(0) + " HTTP/1.1\r\nRequest-Id: check\r\n"
+        String ready = ask(relay.address(), "GET /health/ready HTTP/1.1\r\n\r\n");
+        String taken = ask(relay.address(),
+            "POST /" + config.platformSettings.messageClasses.name(0) + " HTTP/1.1\r\nRequest-Id: check\r\n"
                 + "Request-Timeout: 50m\r\nX-Addressing: dest=0\r\nContent-Length: 2\r\n\r\nhi");
         if (!ready.contains(" 200 ") || !taken.contains(" 202 ")) {
             throw new IOException("started, but answered " + ready + " and " + taken);
         }
         // Nothing of a trial is to stay.
-        relay.letFolderGo();
+        relay.closeLedger();
         Files.delete(state.resolve("ledger"));
         Files.delete(state);
         return config.name + ": starts and takes envelopes";
--- a/relay/src/main/java/yewpath/wirehost/Instance.java
+++ b/relay/src/main/java/yewpath/wirehost/Instance.java
@@ -4,38 +4,38 @@
 import yewpath.DeliveryPolicy;
 import yewpath.PolicyActions;
 import yewpath.PolicySettings;
-import yewpath.boot.Boot;
-import yewpath.boot.Keys;
-import yewpath.boot.Names;
+import yewpath.boot.PlatformSettings;
+import yewpath.boot.KeyTable;
+import yewpath.boot.NameTable;
 
 /** One relay on the wire: its Logic, its id tables and the actions it has asked for in this round. */
 final class Instance implements PolicyActions {
     final DeliveryPolicy logic;
-    final Names envelopes = new Names();
-    final Names endpoints = new Names();
-    final Names destinations = new Names();
-    private final Names zones;
-    private final Names kinds;
-    final Names offerings;
-    final Names tenants;
-    final int leftColumn;
-    final int limitColumn;
+    final NameTable envelopes = new NameTable();
+    final NameTable endpoints = new NameTable();
+    final NameTable destinations = new NameTable();
+    private final NameTable zones;
+    private final NameTable kinds;
+    final NameTable messageClasses;
+    final NameTable tenants;
+    final int remainingShareColumn;
+    final int reportedLimitColumn;
     private final StringBuilder actions = new StringBuilder();
-    private final Keys keys;
+    private final KeyTable keys;
     private int[] keyOf = new int[64];
     private int[] shotsOut = new int[64];
     private boolean[] over = new boolean[64];
     private long now;
 
-    Instance(Boot boot, long seed, long now) {
-        PolicySettings settings = boot.settings;
-        zones = boot.zones;
-        kinds = boot.kinds;
-        offerings = boot.offerings;
-        tenants = boot.tenants;
-        leftColumn = boot.leftColumn;
-        limitColumn = boot.limitColumn;
-        keys = new Keys(settings.settleAfterUncertainMicros);
+    Instance(PlatformSettings platformSettings, long seed, long now) {
+        PolicySettings settings = platformSettings.policySettings;
+        zones = platformSettings.zones;
+        kinds = platformSettings.kinds;
+        messageClasses = platformSettings.messageClasses;
+        tenants = platformSettings.tenants;
+        remainingShareColumn = platformSettings.remainingShareColumn;
+        reportedLimitColumn = platformSettings.reportedLimitColumn;
+        keys = new KeyTable(settings.settleAfterUncertainMicros);
         this.now = now;
         logic = new DeliveryPolicy(settings, seed, this, now);
     }
@@ -46,15 +46,15 @@
     }
 
     int zone(String name) {
-        return zones.of(name);
+        return zones.getOrAdd(name);
     }
 
     int kind(String name) {
-        return kinds.of(name);
+        return kinds.getOrAdd(name);
     }
 
     int take(String id, String key) {
-        int envelope = envelopes.of(id);
+        int envelope = envelopes.getOrAdd(id);
         if (envelope >= keyOf.length) {
             keyOf = Arrays.copyOf(keyOf, envelope * 2);
             shotsOut = Arrays.copyOf(shotsOut, envelope * 2);
@@ -62,7 +62,7 @@
         }
         shotsOut[envelope] = 0;
         over[envelope] = false;
-        keyOf[envelope] = key == null ? -1 : keys.hold(key, now);
+        keyOf[envelope] = key == null ? -1 : keys.acquire(key, now);
         return envelope;
     }
 
@@ -85,7 +85,7 @@
             return;
         }
         keys.release(keyOf[envelope], now);
-        envelopes.letGo(envelope);
+        envelopes.release(envelope);
     }
 
     boolean isOver(int envelope) {
@@ -140,7 +140,7 @@
 
     @Override
     public void releaseEndpoint(int endpoint) {
-        endpoints.letGo(endpoint);
+        endpoints.release(endpoint);
     }
 
     @Override
--- a/relay/src/main/java/yewpath/wirehost/WireHost.java
+++ b/relay/src/main/java/yewpath/wirehost/WireHost.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import yewpath.DeliveryPolicy;
-import yewpath.boot.Boot;
-import yewpath.boot.Malformed;
+import yewpath.boot.PlatformSettings;
+import yewpath.boot.InvalidInputException;
 
 /** The simulator's text wire: plays rounds of events into each instance's Logic, writes what it asks. */
 public final class WireHost {
@@ -42,7 +42,7 @@
         try {
             host.run();
             return 0;
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             err.println("yewpath wirehost: line " + host.lineNumber + ": " + e.getMessage());
             return 1;
         }
@@ -61,7 +61,7 @@
             }
             String[] head = split(line);
             if (!head[0].equals("TICK")) {
-                throw new Malformed("expected TICK, found " + head[0]);
+                throw new InvalidInputException("expected TICK, found " + head[0]);
             }
             need(head, 3);
             now = micros(head[1]);
@@ -78,7 +78,7 @@
         while (true) {
             String line = line();
             if (line == null) {
-                throw new Malformed("input ended inside a round");
+                throw new InvalidInputException("input ended inside a round");
             }
             if (line.equals("EOB")) {
                 break;
@@ -86,7 +86,7 @@
             String[] fields = split(line);
             try {
                 event(fields);
-            } catch (Malformed e) {
+            } catch (InvalidInputException e) {
                 throw e;
             } catch (RuntimeException e) {
                 fatal = fatal == null ? told(e) : fatal;
@@ -141,14 +141,15 @@
             }
             case "PONG" -> pong(f);
             case "DATAGRAM" -> datagram(f);
-            default -> throw new Malformed("unknown message " + f[0]);
+            default -> throw new InvalidInputException("unknown message " + f[0]);
         }
     }
 
     private Instance instance() {
         Instance instance = named ? instances.get(who) : null;
         if (instance == null) {
-            throw new Malformed(named ? "instance " + who + " is not up" : "no instance named yet");
+            throw new InvalidInputException(
+                named ? "instance " + who + " is not up" : "no instance named yet");
         }
         if (touched.put(who, instance) == null) {
             instance.at(now);
@@ -158,15 +159,15 @@
 
     private void up(String[] f) {
         if (f.length < 2 || !named) {
-            throw new Malformed("UP needs an instance and a seed");
+            throw new InvalidInputException("UP needs an instance and a seed");
         }
         long seed;
         try {
             seed = f[1].startsWith("-") ? Long.parseLong(f[1]) : Long.parseUnsignedLong(f[1]);
         } catch (NumberFormatException e) {
-            throw new Malformed("not a whole number: " + f[1]);
+            throw new InvalidInputException("not a whole number: " + f[1]);
         }
-        Instance instance = new Instance(Boot.ofFields(f, 2), seed, now);
+        Instance instance = new Instance(PlatformSettings.ofFields(f, 2), seed, now);
         instances.put(who, instance);
         touched.put(who, instance);
     }
@@ -176,23 +177,23 @@
         int number = integer(f[1]);
         int count = integer(f[2]);
         if (number < 0 || number >= PAGES || count < 0) {
-            throw new Malformed("no such page: " + number);
+            throw new InvalidInputException("no such page: " + number);
         }
         List<String[]> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String line = line();
             if (line == null) {
-                throw new Malformed("input ended inside a page");
+                throw new InvalidInputException("input ended inside a page");
             }
             String[] entry = split(line);
             if (!entry[0].equals("ENDPOINT")) {
-                throw new Malformed("expected ENDPOINT, found " + entry[0]);
+                throw new InvalidInputException("expected ENDPOINT, found " + entry[0]);
             }
             need(entry, 8);
             decimal(entry[6]);
             micros(entry[7]);
             if (entry[5].length() != 1 || "ULD".indexOf(entry[5].charAt(0)) < 0) {
-                throw new Malformed("unknown phase " + entry[5]);
+                throw new InvalidInputException("unknown phase " + entry[5]);
             }
             entries.add(entry);
         }
@@ -209,16 +210,17 @@
         }
         boolean whole = f[1].equals("full") || f[1].equals("cached");
         if (!whole && !f[1].equals("delta")) {
-            throw new Malformed("unknown kind of list " + f[1]);
+            throw new InvalidInputException("unknown kind of list " + f[1]);
         }
         int number = integer(f[3]);
         if (number < 0 || number >= PAGES || pages[number] == null) {
-            throw new Malformed("no page " + f[3]);
+            throw new InvalidInputException("no page " + f[3]);
         }
         logic.endpointListStarted(whole, f[1].equals("cached"));
         for (String[] e : pages[number]) {
-            logic.endpointListed(instance.endpoints.of(e[1]), instance.zone(e[2]), instance.kind(e[3]),
-                instance.destinations.of(e[4]), "ULD".indexOf(e[5].charAt(0)), decimal(e[6]), micros(e[7]));
+            logic.endpointListed(instance.endpoints.getOrAdd(e[1]), instance.zone(e[2]), instance.kind(e[3]),
+                instance.destinations.getOrAdd(e[4]), "ULD".indexOf(e[5].charAt(0)), decimal(e[6]),
+                micros(e[7]));
         }
         logic.endpointListEnded();
     }
@@ -226,15 +228,15 @@
     private void ingress(String[] f) {
         need(f, 9);
         Instance instance = instance();
-        int offering = instance.offerings.find(f[2]);
+        int offering = instance.messageClasses.find(f[2]);
         if (offering < 0) {
-            throw new Malformed("unknown offering " + f[2]);
+            throw new InvalidInputException("unknown offering " + f[2]);
         }
         long expiry = micros(f[5]);
         if (!f[8].equals("-")) {
             integer(f[8]);
         }
-        int destination = instance.destinations.of(f[7]);
+        int destination = instance.destinations.getOrAdd(f[7]);
         int envelope = instance.take(f[1], f[4].equals("-") ? null : f[4]);
         instance.logic.messageAccepted(envelope, offering, instance.tenants.find(f[3]),
             instance.keyOf(envelope),
@@ -247,18 +249,18 @@
         int envelope = instance.envelopes.find(f[1]);
         int endpoint = instance.endpoints.find(f[4]);
         if (envelope < 0 || endpoint < 0) {
-            throw new Malformed("an outcome for what was never sent: " + f[1] + " " + f[4]);
+            throw new InvalidInputException("an outcome for what was never sent: " + f[1] + " " + f[4]);
         }
         boolean over = f[2].equals("1");
         int outcome = integer(f[7]);
         if (outcome < 0 || outcome > 7) {
-            throw new Malformed("unknown outcome " + f[7]);
+            throw new InvalidInputException("unknown outcome " + f[7]);
         }
         double detail = decimal(f[5]);
         String[] report = report(f[8]);
         instance.logic.attemptEnded(envelope, over, integer(f[3]), endpoint, outcome,
             outcome == 2 ? Math.round(detail * 1000) : 0, micros(f[6]),
-            column(report, instance.leftColumn), column(report, instance.limitColumn));
+            column(report, instance.remainingShareColumn), column(report, instance.reportedLimitColumn));
         if (over && !instance.isOver(envelope)) {
             instance.ended(envelope);
         }
@@ -279,7 +281,7 @@
         need(f, 5);
         Instance instance = instance();
         if (instance.endpoints.find(f[1]) < 0) {
-            throw new Malformed("a probe's result for an unknown endpoint " + f[1]);
+            throw new InvalidInputException("a probe's result for an unknown endpoint " + f[1]);
         }
     }
 
@@ -299,7 +301,8 @@
 
     private static void need(String[] fields, int count) {
         if (fields.length != count) {
-            throw new Malformed(fields[0] + " has " + (fields.length - 1) + " fields, not " + (count - 1));
+            throw new InvalidInputException(
+                fields[0] + " has " + (fields.length - 1) + " fields, not " + (count - 1));
         }
     }
 
@@ -326,7 +329,7 @@
         try {
             return Double.parseDouble(field);
         } catch (NumberFormatException e) {
-            throw new Malformed("not a number: " + field);
+            throw new InvalidInputException("not a number: " + field);
         }
     }
 
@@ -338,14 +341,14 @@
         try {
             return Long.parseLong(field);
         } catch (NumberFormatException e) {
-            throw new Malformed("not a whole number: " + field);
+            throw new InvalidInputException("not a whole number: " + field);
         }
     }
 
     private static int integer(String field) {
         long value = whole(field);
         if (value != (int) value) {
-            throw new Malformed("out of range: " + field);
+            throw new InvalidInputException("out of range: " + field);
         }
         return (int) value;
     }
--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -73,12 +73,12 @@
         }
 
         @Override
-        public String key() {
+        public String affinityKey() {
             return null;
         }
 
         @Override
-        public String tag() {
+        public String idempotencyKey() {
             return null;
         }
 
@@ -91,29 +91,29 @@
         }
 
         @Override
-        public long expiry() {
+        public long deadlineMicros() {
             return expiry;
         }
 
-        public void callOver() {}
+        public void onCallEnd() {}
 
-        public long leaveBy() {
+        public long sendByMicros() {
             return leaveBy;
         }
 
         @Override
-        public void leaving() {}
+        public void beforeSend() {}
 
         @Override
-        public void ended(int outcome, long wait, boolean over, double left, double limit) {
+        public void onEnd(int outcome, long wait, boolean over, double left, double limit) {
             outcomes.add(outcome);
         }
     }
 
     private void send(Attempt cargo, InetSocketAddress to) {
         loop.thread().execute(() -> {
-            delivery.place(0, to);
-            delivery.call(0, List.of(cargo), cargo.expiry);
+            delivery.setAddress(0, to);
+            delivery.startCall(0, List.of(cargo), cargo.expiry);
         });
     }
 
@@ -140,7 +140,7 @@
             send(cargo, at(endpoint.address()));
             until("it has its end", 2_000, () -> cargo.outcomes.size() == 1);
             assertEquals(cargo.outcomes, List.of(PolicyActions.NOT_EXECUTED));
-            assertEquals(delivery.callsOut(), 0);
+            assertEquals(delivery.callsInFlight(), 0);
             Attempt next = new Attempt("next", 20_000_000, 20_000_000);
             send(next, at(endpoint.address()));
             until("the next goes as ever", 2_000,
@@ -214,8 +214,8 @@
 
     private void sendTogether(InetSocketAddress to, Attempt... cargo) {
         loop.thread().execute(() -> {
-            delivery.place(0, to);
-            delivery.call(0, List.of(cargo), cargo[0].expiry);
+            delivery.setAddress(0, to);
+            delivery.startCall(0, List.of(cargo), cargo[0].expiry);
         });
     }
 
--- a/relay/src/test/java/yewpath/DeliveryTest.java
+++ b/relay/src/test/java/yewpath/DeliveryTest.java
@@ -193,14 +193,14 @@
             new Class<?>[]{Call.Attempt.class}, (proxy, method, args) -> switch (method.getName()) {
                 case "id" -> "q" + outcomes.get();
                 case "body" -> new byte[0];
-                case "expiry", "leaveBy" -> loop.nowMicros() + 5_000_000;
-                case "ended" -> outcomes.addAndGet((int) args[0] == PolicyActions.DELIVERED ? 1 : 100);
+                case "deadlineMicros", "sendByMicros" -> loop.nowMicros() + 5_000_000;
+                case "onEnd" -> outcomes.addAndGet((int) args[0] == PolicyActions.DELIVERED ? 1 : 100);
                 case "equals" -> proxy == args[0];
                 default -> null;
             });
         loop.thread().execute(() -> {
-            delivery.place(0, new InetSocketAddress("127.0.0.1", endpoint.port()));
-            delivery.call(0, List.of(cargo), loop.nowMicros() + 5_000_000);
+            delivery.setAddress(0, new InetSocketAddress("127.0.0.1", endpoint.port()));
+            delivery.startCall(0, List.of(cargo), loop.nowMicros() + 5_000_000);
         });
         until("the first is delivered", 2000, () -> outcomes.get() == 1);
         loop.thread().execute(() -> {
@@ -212,7 +212,7 @@
                 outcomes.addAndGet(100);
             }
             Stand.pause(100);
-            delivery.call(0, List.of(cargo), loop.nowMicros() + 5_000_000);
+            delivery.startCall(0, List.of(cargo), loop.nowMicros() + 5_000_000);
         });
         until("the next is delivered", 2000, () -> outcomes.get() == 2);
         worker.shutdownNow();
--- a/relay/src/test/java/yewpath/SettingsTest.java
+++ b/relay/src/test/java/yewpath/SettingsTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import yewpath.boot.Boot;
+import yewpath.boot.PlatformSettings;
 import yewpath.relay.Config;
 
 /** The settings that the move brought, in the platform's JSON: taken, at their defaults, or refused by path. */
@@ -29,32 +29,33 @@
     public void areTakenAsTold() throws Exception {
         PolicySettings told = read("\"zones\": [\"here\"],",
             "\"zones\": [\"north\", \"south\"], \"locality\": \"south\","
-                + " \"prices\": {\"cross_zone\": 0.03},").boot.settings;
+                + " \"prices\": {\"cross_zone\": 0.03},").platformSettings.policySettings;
         assertEquals(told.zone, 1);
         assertEquals(told.crossZonePrice, 0.03);
         PolicySettings fees = read("\"family_info\": {",
-            "\"family_info\": {\"carriage\": [0.06],").boot.settings;
+            "\"family_info\": {\"carriage\": [0.06],").platformSettings.policySettings;
         assertEquals(fees.zoneFees, new double[]{0.06});
     }
 
     @Test
     public void changeNothingWhereAbsent() throws Exception {
-        PolicySettings told = read("\"zones\"", "\"zones\"").boot.settings;
+        PolicySettings told = read("\"zones\"", "\"zones\"").platformSettings.policySettings;
         assertEquals(told.crossZonePrice, 0.0);
         assertEquals(told.zoneFees.length, 0);
         // Where no zone is this relay's own, a price for crossing can't be due.
         assertEquals(
-            read("\"zones\"", "\"prices\": {\"cross_zone\": 0.03}, \"zones\"").boot.settings.crossZonePrice,
+            read("\"zones\"",
+                "\"prices\": {\"cross_zone\": 0.03}, \"zones\"").platformSettings.policySettings.crossZonePrice,
             0.0);
     }
 
     /** Guards against a simulator's wire ending the process: there a list may be of another length than the names. */
     @Test
     public void areTakenAsTheyAreFromAWire() {
-        PolicySettings told = Boot
+        PolicySettings told = PlatformSettings
             .ofFields(new String[]{"kinds=a,b", "zones=n,s", "locality=elsewhere", "prices.cross_zone=0.03",
                 "family_info.routes_apart=true,false,false", "family_info.bundle_max=5,1,1",
-                "family_info.carriage=0.1"}, 0).settings;
+                "family_info.carriage=0.1"}, 0).policySettings;
         assertEquals(told.limitPerEndpoint, new boolean[]{true, false});
         assertEquals(told.zone, -1);
         assertEquals(told.zoneFees.length, 1);
@@ -63,33 +64,34 @@
     /** Two deployments, one after the other in one process: neither knows a name of the other. */
     @Test
     public void ofOneDeploymentNothingIsLeftInTheNext() throws Exception {
-        Boot first = read("\"zones\"", "\"zones\"").boot;
+        PlatformSettings first = read("\"zones\"", "\"zones\"").platformSettings;
         Path file = Files.createTempFile("yewpath", ".json");
-        Boot second;
+        PlatformSettings second;
         try {
             second = Config.read(Files.writeString(file,
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"state\":\"s\","
                     + "\"limits\":{\"memory_mb\":96,\"sockets\":300,\"disk_mb\":1},\"settings\":{\"balancers\":7,\"zones\":[\"q1\",\"q2\"],\"kinds\":[\"k1\"],"
                     + "\"family_info\":{\"max_calls\":3},\"tenants\":[{\"name\":\"t1\",\"quota_per_s\":1.0,\"portion\":1.0}],\"request_classes\":["
                     + "{\"name\":\"c1\",\"repeat\":\"token\",\"dedup_window_ms\":1000,\"worth\":5,\"late_worth\":0,\"on_time_ms\":10,\"give_up_ms\":20}]}}")
-                .toString(), null, Map.of()).boot;
+                .toString(), null, Map.of()).platformSettings;
         } finally {
             Files.delete(file);
         }
-        assertEquals(second.offerings.find("c1"), 0);
-        assertEquals(second.settings.messageClasses.length, 1);
-        assertEquals(second.settings.messageClasses[0].semantics(),
+        assertEquals(second.messageClasses.find("c1"), 0);
+        assertEquals(second.policySettings.messageClasses.length, 1);
+        assertEquals(second.policySettings.messageClasses[0].semantics(),
             PolicySettings.DeliverySemantics.DEDUPLICATED);
-        assertEquals(second.settings.messageClasses[0].deduplicationMicros(), 1_000_000);
+        assertEquals(second.policySettings.messageClasses[0].deduplicationMicros(), 1_000_000);
         assertEquals(second.zones.find("here") + second.kinds.find("plain") + second.tenants.find("demo"),
             -3);
-        for (int i = 0; i < first.settings.messageClasses.length; i++) {
-            assertEquals(second.offerings.find(first.offerings.name(i)), -1, first.offerings.name(i));
+        for (int i = 0; i < first.policySettings.messageClasses.length; i++) {
+            assertEquals(second.messageClasses.find(first.messageClasses.name(i)), -1,
+                first.messageClasses.name(i));
         }
-        Boot again = read("\"zones\"", "\"zones\"").boot;
-        assertEquals(again.settings.messageClasses, first.settings.messageClasses);
-        assertEquals(again.offerings.find("c1"), -1);
-        assertEquals(again.settings.maxConcurrentCalls, first.settings.maxConcurrentCalls);
+        PlatformSettings again = read("\"zones\"", "\"zones\"").platformSettings;
+        assertEquals(again.policySettings.messageClasses, first.policySettings.messageClasses);
+        assertEquals(again.messageClasses.find("c1"), -1);
+        assertEquals(again.policySettings.maxConcurrentCalls, first.policySettings.maxConcurrentCalls);
     }
 
     @DataProvider
@@ -117,7 +119,7 @@
 
     @Test(dataProvider = "faults")
     public void areRefusedByPath(String from, String to, String fault) {
-        String told = expectThrows(Config.Fault.class, () -> read(from, to)).getMessage();
+        String told = expectThrows(Config.InvalidConfigException.class, () -> read(from, to)).getMessage();
         assertTrue(told.contains(fault), told);
     }
 }
