--- a/relay/src/main/java/yewpath/relay/Config.java
+++ b/relay/src/main/java/yewpath/relay/Config.java
@@ -16,9 +16,15 @@
 import yewpath.operator.OperatorFile;
 import yewpath.operator.OperatorSettings;
 
-/** What a relay is told at its start, by file and environment; the latter wins. */
+/**
+ * The configuration of a relay, from the files and the environment. A variable of the environment takes
+ * precedence over the file.
+ */
 public final class Config {
-    /** Something in it that the relay cannot start with. */
+    /**
+     * Thrown if the configuration is missing, unreadable or invalid; the message names the file and the
+     * error.
+     */
     public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -27,104 +33,123 @@
         }
     }
 
+    /** The name of this relay in its log. */
     public final String name;
-    public final InetSocketAddress listen;
-    public final InetSocketAddress discovery;
-    public final Path state;
+    public final InetSocketAddress listenAddress;
+    public final InetSocketAddress discoveryAddress;
+    /** The folder of the ledger. */
+    public final Path stateFolder;
+    /** The seed of the random decisions of the delivery policy. */
     public final long seed;
     public final PlatformSettings platformSettings;
     public final Limits limits;
-    /** The list of endpoints as last held; null where none is told. */
-    EndpointList known;
-    /** What the operator's file says, or all at its default. */
+    /** The list of endpoints to start with; null if the file contains none. */
+    EndpointList configuredEndpoints;
+    /** The values of the operator's file; all at their defaults if there is no file. */
     public final OperatorSettings operatorSettings;
     final String operatorFile;
     private final String file;
     private final Map<String, String> environment;
 
-    private Config(String file, byte[] json, String operatorFile, OperatorSettings operator,
+    private Config(String file, byte[] json, String operatorFile, OperatorSettings operatorSettings,
         Map<String, String> environment) {
         this.file = file;
         this.operatorFile = operatorFile;
-        this.operatorSettings = operator;
+        this.operatorSettings = operatorSettings;
         this.environment = environment;
-        Map<String, String> flat = new HashMap<>();
+        Map<String, String> values = new HashMap<>();
         Map<String, String> settings = new HashMap<>();
-        Json.parse(json, at -> {
-            Json.readObject(at, (name, value) -> {
+        Json.parse(json, parser -> {
+            Json.readObject(parser, (name, value) -> {
                 if (name.equals("known") && value.currentToken() != JsonToken.VALUE_NULL) {
-                    known = EndpointList.read(value);
+                    configuredEndpoints = EndpointList.read(value);
                 } else if (name.equals("settings")) {
-                    Json.readObject(value, (inner, setting) -> Json.flatten(inner, setting, settings::put));
+                    Json.readObject(value,
+                        (settingName, setting) -> Json.flatten(settingName, setting, settings::put));
                 } else {
-                    Json.flatten(name, value, flat::put);
+                    Json.flatten(name, value, values::put);
                 }
             });
             return null;
         });
-        name = pick(environment, flat, "NODE_NAME", "name", "relay");
-        listen = EndpointList.parseAddress(pick(environment, flat, "NODE_LISTEN", "listen", null));
-        discovery = EndpointList.parseAddress(pick(environment, flat, "NODE_DISCOVERY", "discovery", null));
-        state = Path.of(pick(environment, flat, "NODE_STATE", "state", null));
-        String told = flat.getOrDefault("seed", "0");
-        if (!told.matches("[0-9a-fA-F]{1,16}")) {
-            throw new IllegalArgumentException("seed is not hexadecimal: " + told);
+        name = choose(environment, values, "NODE_NAME", "name", "relay");
+        listenAddress = EndpointList.parseAddress(choose(environment, values, "NODE_LISTEN", "listen", null));
+        discoveryAddress = EndpointList
+            .parseAddress(choose(environment, values, "NODE_DISCOVERY", "discovery", null));
+        stateFolder = Path.of(choose(environment, values, "NODE_STATE", "state", null));
+        String seedText = values.getOrDefault("seed", "0");
+        if (!seedText.matches("[0-9a-fA-F]{1,16}")) {
+            throw new IllegalArgumentException(
+                "seed is not a hexadecimal number of 1 to 16 digits: " + seedText);
         }
-        seed = Long.parseUnsignedLong(told, 16);
+        seed = Long.parseUnsignedLong(seedText, 16);
         platformSettings = new PlatformSettings(settings, true);
         if (platformSettings.policySettings.messageClasses.length == 0) {
-            throw new IllegalArgumentException("settings name no request_classes");
+            throw new IllegalArgumentException("settings: request_classes is missing or empty");
         }
-        limits = new Limits(name -> figure(flat, "limits." + name),
+        limits = new Limits(name -> number(values, "limits." + name),
             platformSettings.policySettings.connectTimeoutMicros,
-            platformSettings.policySettings.idleConnectionTimeoutMicros, operator);
+            platformSettings.policySettings.idleConnectionTimeoutMicros, operatorSettings);
     }
 
-    private static double figure(Map<String, String> flat, String path) {
-        String value = flat.getOrDefault(path, "0");
+    private static double number(Map<String, String> values, String path) {
+        String value = values.getOrDefault(path, "0");
         try {
             return Double.parseDouble(value);
-        } catch (NumberFormatException e) {
+        } catch (NumberFormatException exception) {
             throw new IllegalArgumentException(path + " is not a number: " + value);
         }
     }
 
-    private static String pick(Map<String, String> environment, Map<String, String> flat, String variable,
-        String path, String otherwise) {
+    /**
+     * Returns the value of a variable of the environment, else the one at a path of the file, else the
+     * default; a default of null makes the setting mandatory.
+     */
+    private static String choose(Map<String, String> environment, Map<String, String> values, String variable,
+        String path, String defaultValue) {
         String value = environment.get(variable);
-        value = value == null || value.isEmpty() ? flat.getOrDefault(path, otherwise) : value;
+        value = value == null || value.isEmpty() ? values.getOrDefault(path, defaultValue) : value;
         if (value == null) {
-            throw new IllegalArgumentException("neither $" + variable + " nor \"" + path + "\" is told");
+            throw new IllegalArgumentException("neither $" + variable + " nor \"" + path + "\" is set");
         }
         return value;
     }
 
     /**
-     * The same file as it stands now. What it says of discovery wins this time: the environment is that of the
-     * start, and can't have moved with it.
+     * Reads the same files again. The address of discovery is now taken from the file: the environment is
+     * that of the start, so it can't contain a new address.
+     *
+     * @throws InvalidConfigException if a file is unreadable or invalid
      */
-    Config again() throws InvalidConfigException {
-        Map<String, String> rest = new HashMap<>(environment);
-        rest.remove("NODE_DISCOVERY");
-        return read(file, operatorFile, rest);
+    Config reread() throws InvalidConfigException {
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove("NODE_DISCOVERY");
+        return read(file, operatorFile, remaining);
     }
 
-    /** {@code file} may be null, which leaves it to $NODE_CONFIG; {@code operatorFile} may be, too. */
+    /**
+     * Reads the configuration.
+     *
+     * @param file the platform's configuration; null to use the file that $NODE_CONFIG names
+     * @param operatorFile the operator's file; null for none
+     * @throws InvalidConfigException if a file is missing, unreadable or invalid
+     */
     public static Config read(String file, String operatorFile, Map<String, String> environment)
         throws InvalidConfigException {
         String path = file != null ? file : environment.get("NODE_CONFIG");
         if (path == null || path.isEmpty()) {
-            throw new InvalidConfigException("no configuration: name a file by --config or $NODE_CONFIG");
+            throw new InvalidConfigException("no configuration file: set --config or $NODE_CONFIG");
         }
         try {
-            OperatorSettings operator = OperatorFile.read(operatorFile);
-            return new Config(path, Files.readAllBytes(Path.of(path)), operatorFile, operator, environment);
-        } catch (ConfigurationException faults) {
-            throw new InvalidConfigException(faults.getMessage());
-        } catch (IOException e) {
-            throw new InvalidConfigException(path + " cannot be read: " + e.getMessage());
-        } catch (IllegalArgumentException | InvalidInputException e) {
-            throw new InvalidConfigException(path + ": " + e.getMessage());
+            OperatorSettings operatorSettings = OperatorFile.read(operatorFile);
+            return new Config(path, Files.readAllBytes(Path.of(path)), operatorFile, operatorSettings,
+                environment);
+        } catch (ConfigurationException invalid) {
+            throw new InvalidConfigException(invalid.getMessage());
+        } catch (IOException exception) {
+            throw new InvalidConfigException(path + " cannot be read: " + exception.getMessage());
+        } catch (IllegalArgumentException | InvalidInputException exception) {
+            throw new InvalidConfigException(path + ": " + exception.getMessage());
         }
     }
 }
--- a/relay/src/main/java/yewpath/relay/Endpoints.java
+++ b/relay/src/main/java/yewpath/relay/Endpoints.java
@@ -11,52 +11,66 @@
 import yewpath.events.Event;
 import yewpath.events.Log;
 
-/** Turns the list's names into indices and hands it on, to Logic and to where calls are made. */
+/**
+ * Translates the names of the endpoint list into indices and passes the list on to the delivery policy and
+ * to {@link Delivery}.
+ */
 final class Endpoints implements EndpointList.Listener {
-    private static final int UP = 0;
+    private static final int PHASE_UP = 0;
 
     private final PlatformSettings platformSettings;
-    private final DeliveryPolicy logic;
+    private final DeliveryPolicy policy;
     private final Delivery delivery;
     private final NameTable ids = new NameTable();
     private final NameTable destinations = new NameTable();
-    /** Those that a list has named; a restored envelope may bring others. */
-    private final BitSet served = new BitSet();
+    /** The destinations that a list has named. Restored messages may have added others to the table. */
+    private final BitSet listedDestinations = new BitSet();
     private String[] zones = new String[32];
-    private int[] bundles = new int[32];
-    /** What a wait binds: a destination, or one endpoint where routes are apart. */
-    private int[] routes = new int[32];
-    private final BitSet known = new BitSet();
-    /** Those that the whole list now being read has not named so far. */
-    private final BitSet unnamed = new BitSet();
-    private boolean starting;
+    /** The number of messages that one call to an endpoint may carry. */
+    private int[] maxBatchSizes = new int[32];
+    /**
+     * The group that shares one Retry-After: the destination, or a single endpoint if endpoints of its
+     * kind have limits of their own.
+     */
+    private int[] limitGroups = new int[32];
+    private final BitSet knownEndpoints = new BitSet();
+    /** The known endpoints that the complete list now being read has not named so far. */
+    private final BitSet missingFromList = new BitSet();
+    private boolean loadingConfigured;
 
-    Endpoints(PlatformSettings platformSettings, DeliveryPolicy logic, Delivery delivery) {
+    Endpoints(PlatformSettings platformSettings, DeliveryPolicy policy, Delivery delivery) {
         this.platformSettings = platformSettings;
-        this.logic = logic;
+        this.policy = policy;
         this.delivery = delivery;
     }
 
-    /** Takes the list that the configuration brings, which may be old, and returns its version. */
-    long start(EndpointList known) {
-        starting = true;
-        if (known != null) {
-            known.notifyListener(this);
+    /**
+     * Loads the list of the configuration, which may be outdated.
+     *
+     * @param configuredEndpoints the list, or null if there is none
+     * @return the version of the list; 0 if there is none
+     */
+    long loadConfigured(EndpointList configuredEndpoints) {
+        loadingConfigured = true;
+        if (configuredEndpoints != null) {
+            configuredEndpoints.notifyListener(this);
         }
-        starting = false;
-        return known == null ? 0 : known.version;
+        loadingConfigured = false;
+        return configuredEndpoints == null ? 0 : configuredEndpoints.version;
     }
 
-    boolean knowsDestination(String name) {
-        int at = destinations.find(name);
-        return at >= 0 && served.get(at);
+    /** Whether a list has named this destination. */
+    boolean isListedDestination(String name) {
+        int index = destinations.find(name);
+        return index >= 0 && listedDestinations.get(index);
     }
 
-    int destination(String name) {
+    /** Returns the index of a destination, a new one if it has none. */
+    int destinationIndex(String name) {
         return destinations.getOrAdd(name);
     }
 
-    /** As the list has it; of one that no list names any more, its index. */
+    /** Returns the id of an endpoint in the list, or # and its index if it was released. */
     String name(int endpoint) {
         String name = ids.name(endpoint);
         return name == null ? "#" + endpoint : name;
@@ -66,66 +80,72 @@
         return zones[endpoint];
     }
 
-    int bundle(int endpoint) {
-        return bundles[endpoint];
+    int maxBatchSize(int endpoint) {
+        return maxBatchSizes[endpoint];
     }
 
-    /** A wait was told: what has not left yet would arrive in the middle of it. */
-    void waitTold(int endpoint) {
-        known.stream().filter(at -> routes[at] == routes[endpoint]).forEach(delivery::cancelUnsentCalls);
+    /**
+     * An endpoint has answered with Retry-After: cancels the calls to the endpoints with the same limit
+     * whose requests are not sent yet, because they would arrive during that time.
+     */
+    void retryAfterReceived(int endpoint) {
+        knownEndpoints.stream().filter(index -> limitGroups[index] == limitGroups[endpoint])
+            .forEach(delivery::cancelUnsentCalls);
     }
 
     @Override
-    public void listStarted(boolean whole) {
-        unnamed.clear();
-        if (whole) {
-            unnamed.or(known);
+    public void listStarted(boolean complete) {
+        missingFromList.clear();
+        if (complete) {
+            missingFromList.or(knownEndpoints);
         }
-        logic.endpointListStarted(whole, starting);
+        policy.endpointListStarted(complete, loadingConfigured);
     }
 
     @Override
     public void endpointListed(String id, InetSocketAddress address, String zone, String kind,
         String destination,
         int phase,
-        double rate, long since) {
-        int at = ids.getOrAdd(id);
-        if (at >= zones.length) {
-            zones = Arrays.copyOf(zones, at * 2);
-            bundles = Arrays.copyOf(bundles, at * 2);
-            routes = Arrays.copyOf(routes, at * 2);
+        double callsPerSecond, long sinceMicros) {
+        int index = ids.getOrAdd(id);
+        if (index >= zones.length) {
+            zones = Arrays.copyOf(zones, index * 2);
+            maxBatchSizes = Arrays.copyOf(maxBatchSizes, index * 2);
+            limitGroups = Arrays.copyOf(limitGroups, index * 2);
         }
-        int kindAt = platformSettings.kinds.getOrAdd(kind);
-        known.set(at);
-        unnamed.clear(at);
-        zones[at] = zone;
-        bundles[at] = kindAt < platformSettings.policySettings.maxBatchSize.length
-            ? platformSettings.policySettings.maxBatchSize[kindAt] : 1;
-        boolean apart = kindAt < platformSettings.policySettings.limitPerEndpoint.length
-            && platformSettings.policySettings.limitPerEndpoint[kindAt];
-        int to = destinations.getOrAdd(destination);
-        served.set(to);
-        routes[at] = apart ? -1 - at : to;
-        delivery.setAddress(at, address);
-        if (phase != UP) {
-            delivery.stopSending(at);
+        int kindIndex = platformSettings.kinds.getOrAdd(kind);
+        knownEndpoints.set(index);
+        missingFromList.clear(index);
+        zones[index] = zone;
+        maxBatchSizes[index] = kindIndex < platformSettings.policySettings.maxBatchSize.length
+            ? platformSettings.policySettings.maxBatchSize[kindIndex] : 1;
+        boolean hasOwnLimit = kindIndex < platformSettings.policySettings.limitPerEndpoint.length
+            && platformSettings.policySettings.limitPerEndpoint[kindIndex];
+        int destinationIndex = destinations.getOrAdd(destination);
+        listedDestinations.set(destinationIndex);
+        limitGroups[index] = hasOwnLimit ? -1 - index : destinationIndex;
+        delivery.setAddress(index, address);
+        if (phase != PHASE_UP) {
+            delivery.stopSending(index);
         }
         if (Log.isEnabled(Event.ENDPOINT_LISTED)) {
             Log.log(Event.ENDPOINT_LISTED, id, address, destination,
-                phase == UP ? "up" : phase == 1 ? "draining" : "removed");
+                phase == PHASE_UP ? "up" : phase == 1 ? "draining" : "removed");
         }
-        logic.endpointListed(at, platformSettings.zones.getOrAdd(zone), kindAt, to, phase, rate, since);
+        policy.endpointListed(index, platformSettings.zones.getOrAdd(zone), kindIndex, destinationIndex,
+            phase, callsPerSecond, sinceMicros);
     }
 
-    void forget(int endpoint) {
-        known.clear(endpoint);
+    /** Removes an endpoint, whose index may then be given to another one. */
+    void release(int endpoint) {
+        knownEndpoints.clear(endpoint);
         ids.release(endpoint);
         delivery.stopSending(endpoint);
     }
 
     @Override
     public void listEnded() {
-        unnamed.stream().forEach(delivery::stopSending);
-        logic.endpointListEnded();
+        missingFromList.stream().forEach(delivery::stopSending);
+        policy.endpointListEnded();
     }
 }
--- a/relay/src/main/java/yewpath/relay/KeyOrder.java
+++ b/relay/src/main/java/yewpath/relay/KeyOrder.java
@@ -6,39 +6,49 @@
 import java.util.Map;
 
 /**
- * What of a key is not over yet outside of this process, though Logic has ended it: an end that the platform has not heard
- * of, or a call of several that an ended envelope is still part of. What follows on the key waits for it.
+ * Keeps the order of messages with the same key beyond what the policy sees. A key is blocked while the
+ * platform has not acknowledged the outcome of an earlier message, or while an earlier message is part of
+ * a batch call that is still in flight. The next message with the key is sent when nothing blocks the key
+ * any more.
  */
 final class KeyOrder {
-    /** By what it is known: a ledger's entry, or a shot. */
-    private final Map<Object, String> unfinished = new HashMap<>();
-    private final Map<String, Integer> counts = new HashMap<>();
-    private final Map<String, List<Runnable>> waiting = new HashMap<>();
+    /** The key that each ledger entry or attempt blocks. */
+    private final Map<Object, String> keysByBlocker = new HashMap<>();
+    private final Map<String, Integer> blockerCounts = new HashMap<>();
+    private final Map<String, List<Runnable>> waitingActions = new HashMap<>();
 
-    void begin(String key, Object what) {
-        if (unfinished.put(what, key) == null) {
-            counts.merge(key, 1, Integer::sum);
+    /** Blocks a key until {@link #unblock} is called with the same object. */
+    void block(String key, Object blocker) {
+        if (keysByBlocker.put(blocker, key) == null) {
+            blockerCounts.merge(key, 1, Integer::sum);
         }
     }
 
-    /** Does nothing where it was not begun. */
-    void end(Object what) {
-        String key = unfinished.remove(what);
-        if (key != null && counts.merge(key, -1, Integer::sum) == 0) {
-            counts.remove(key);
-            List<Runnable> next = waiting.remove(key);
+    /**
+     * Ends the block that {@link #block} has begun with this object, if any. If it was the last block of
+     * its key, the waiting actions of the key run.
+     */
+    void unblock(Object blocker) {
+        String key = keysByBlocker.remove(blocker);
+        if (key != null && blockerCounts.merge(key, -1, Integer::sum) == 0) {
+            blockerCounts.remove(key);
+            List<Runnable> next = waitingActions.remove(key);
             if (next != null) {
                 next.forEach(Runnable::run);
             }
         }
     }
 
-    boolean isHeld(String key) {
-        return counts.containsKey(key);
+    /** Whether anything blocks the key. */
+    boolean isBlocked(String key) {
+        return blockerCounts.containsKey(key);
     }
 
-    /** Runs it as soon as all of the key is over; it asks for itself whether there still is something to do. */
-    void whenOver(String key, Runnable act) {
-        waiting.computeIfAbsent(key, k -> new ArrayList<>(1)).add(act);
+    /**
+     * Runs the action when nothing blocks the key any more. The action itself checks whether there is
+     * still something to do.
+     */
+    void runWhenUnblocked(String key, Runnable action) {
+        waitingActions.computeIfAbsent(key, unused -> new ArrayList<>(1)).add(action);
     }
 }
--- a/relay/src/main/java/yewpath/relay/LedgerWriter.java
+++ b/relay/src/main/java/yewpath/relay/LedgerWriter.java
@@ -7,75 +7,94 @@
 import yewpath.ledger.Ledger;
 import yewpath.loop.EventLoop;
 
-/** Writes the ledger's records, and holds back ends that could not be written down while the folder fails. */
+/**
+ * Writes the ledger's records. While the state folder can't be written, it withholds the outcomes that are
+ * not in the ledger yet.
+ */
 final class LedgerWriter {
-    private static final long MILLISECOND = 1_000;
-    private static final long WRITE_AGAIN_AFTER = 50 * MILLISECOND;
-    /** Writing a large log in vain leaves most of the time for other work. */
-    private static final long PAUSE_PER_ATTEMPT = 10;
-    private static final long FOLDER_CHECK_EVERY = 100 * MILLISECOND;
+    private static final long MICROS_PER_MILLISECOND = 1_000;
+    private static final long RETRY_DELAY_MICROS = 50 * MICROS_PER_MILLISECOND;
+    /**
+     * A failed write delays the next one by this multiple of its duration, so that failing writes of a
+     * large ledger leave most of the time for other work.
+     */
+    private static final long RETRY_DELAY_PER_WRITE_TIME = 10;
+    private static final long FOLDER_CHECK_INTERVAL_MICROS = 100 * MICROS_PER_MILLISECOND;
 
     private final EventLoop loop;
     private final Ledger ledger;
-    private final Consumer<LedgerEntry> tell;
-    private final Set<LedgerEntry> unwrittenEnds = new LinkedHashSet<>();
-    private long writeAgainAt;
+    private final Consumer<LedgerEntry> outcomeConsumer;
+    private final Set<LedgerEntry> unwrittenOutcomes = new LinkedHashSet<>();
+    private long retryAtMicros;
 
-    /** {@code tell} is handed the ends that may be told. */
-    LedgerWriter(EventLoop loop, Ledger ledger, Consumer<LedgerEntry> tell) {
+    /**
+     * Creates a writer and starts to check the state folder.
+     *
+     * @param outcomeConsumer receives the entries whose outcomes may be sent
+     */
+    LedgerWriter(EventLoop loop, Ledger ledger, Consumer<LedgerEntry> outcomeConsumer) {
         this.loop = loop;
         this.ledger = ledger;
-        this.tell = tell;
-        loop.schedule(FOLDER_CHECK_EVERY, this::checkFolder);
+        this.outcomeConsumer = outcomeConsumer;
+        loop.schedule(FOLDER_CHECK_INTERVAL_MICROS, this::checkFolder);
     }
 
-    /** Whether all records are written; while the folder fails it is tried again from time to time only. */
+    /**
+     * Writes the pending records. After a failure it writes again only after a delay.
+     *
+     * @return whether all records are written
+     */
     boolean flush() {
         boolean failedBefore = !ledger.isWritable();
-        long begun = loop.nowMicros();
-        if (failedBefore && begun < writeAgainAt) {
+        long startMicros = loop.nowMicros();
+        if (failedBefore && startMicros < retryAtMicros) {
             return false;
         }
         if (!ledger.flush()) {
-            writeAgainLater(loop.nowMicros() - begun);
+            scheduleRetry(loop.nowMicros() - startMicros);
             return false;
         }
         if (failedBefore) {
-            unwrittenEnds.forEach(tell);
-            unwrittenEnds.clear();
+            unwrittenOutcomes.forEach(outcomeConsumer);
+            unwrittenOutcomes.clear();
             loop.requestRound();
         }
         return true;
     }
 
-    private void writeAgainLater(long attemptTook) {
-        long pause = Math.max(WRITE_AGAIN_AFTER, PAUSE_PER_ATTEMPT * attemptTook);
-        writeAgainAt = loop.nowMicros() + pause;
-        loop.schedule(pause, loop::requestRound);
+    private void scheduleRetry(long writeMicros) {
+        long delayMicros = Math.max(RETRY_DELAY_MICROS, RETRY_DELAY_PER_WRITE_TIME * writeMicros);
+        retryAtMicros = loop.nowMicros() + delayMicros;
+        loop.schedule(delayMicros, loop::requestRound);
     }
 
     /**
-     * An end that is not written down could be forgotten by a restart, and the message tried after its end was told; once
-     * its time is up nobody tries it any more.
+     * Passes on the outcome of a message when it is written, or at the message's deadline. A restart could
+     * forget an outcome that is not written, and the message would be attempted after its outcome was
+     * reported; after the deadline it is not attempted any more.
      */
-    void tellOnceWritten(LedgerEntry entry) {
+    void notifyOnceWritten(LedgerEntry entry) {
         if (ledger.isWritable()) {
-            tell.accept(entry);
+            outcomeConsumer.accept(entry);
             return;
         }
-        unwrittenEnds.add(entry);
+        unwrittenOutcomes.add(entry);
         loop.schedule(entry.deadlineMicros - loop.nowMicros(), () -> {
-            if (unwrittenEnds.remove(entry)) {
-                tell.accept(entry);
+            if (unwrittenOutcomes.remove(entry)) {
+                outcomeConsumer.accept(entry);
             }
         });
     }
 
+    /**
+     * Checks regularly whether the ledger file was replaced, and whether a failed folder can be written
+     * again.
+     */
     private void checkFolder() {
         ledger.checkFileReplaced();
         if (!ledger.isWritable()) {
             loop.requestRound();
         }
-        loop.schedule(FOLDER_CHECK_EVERY, this::checkFolder);
+        loop.schedule(FOLDER_CHECK_INTERVAL_MICROS, this::checkFolder);
     }
 }
--- a/relay/src/main/java/yewpath/relay/ProcessSignals.java
+++ b/relay/src/main/java/yewpath/relay/ProcessSignals.java
@@ -3,58 +3,62 @@
 import sun.misc.Signal;
 
 /**
- * What the system asks of this process by signals, heard from the first moments of a start. Guards against the time in
- * which nobody is there yet to do it: SIGHUP would end the process or be forgotten, and SIGTERM end one that takes
- * envelopes already without the end it owes its clients.
+ * Handles SIGHUP (reload) and the termination signals of the process from the beginning of its start.
+ * Guards against signals that arrive before the relay can handle them: SIGHUP would end the process or be
+ * lost, and SIGTERM would end a process that already accepts messages without reporting their outcomes.
  */
 public final class ProcessSignals {
-    private Runnable reload;
-    private Runnable end;
-    private boolean reloadDue;
-    private boolean ending;
+    private Runnable reloadAction;
+    private Runnable terminateAction;
+    private boolean reloadRequested;
+    private boolean terminating;
 
     ProcessSignals() {}
 
-    /** Hears signals from now on; once a process. */
+    /** Installs the handlers; may be called once per process. */
     public static ProcessSignals listen() {
-        ProcessSignals asked = new ProcessSignals();
-        Signal.handle(new Signal("HUP"), hangUp -> asked.hangUp());
-        Runtime.getRuntime().addShutdownHook(new Thread(asked::terminate));
-        return asked;
+        ProcessSignals signals = new ProcessSignals();
+        Signal.handle(new Signal("HUP"), signal -> signals.handleHangup());
+        Runtime.getRuntime().addShutdownHook(new Thread(signals::handleTerminate));
+        return signals;
     }
 
-    synchronized void hangUp() {
-        reloadDue = true;
-        reloadIfDue();
+    synchronized void handleHangup() {
+        reloadRequested = true;
+        reloadIfRequested();
     }
 
-    private void reloadIfDue() {
-        if (reloadDue && reload != null) {
-            reloadDue = false;
-            reload.run();
+    private void reloadIfRequested() {
+        if (reloadRequested && reloadAction != null) {
+            reloadRequested = false;
+            reloadAction.run();
         }
     }
 
-    void terminate() {
-        Runnable act;
+    void handleTerminate() {
+        Runnable action;
         synchronized (this) {
-            ending = true;
-            act = end;
+            terminating = true;
+            action = terminateAction;
         }
-        if (act != null) {
-            act.run();
+        if (action != null) {
+            action.run();
         }
     }
 
-    /** What to do from now on when a new configuration is told of; at once where that has been. */
-    synchronized void toReload(Runnable act) {
-        reload = act;
-        reloadIfDue();
+    /** Sets the action for SIGHUP. It runs at once if SIGHUP was received before. */
+    synchronized void setReloadAction(Runnable action) {
+        reloadAction = action;
+        reloadIfRequested();
     }
 
-    /** What to do when the process is to end; null for nothing. False where it ends already, and this comes too late. */
-    synchronized boolean toEnd(Runnable act) {
-        end = act;
-        return !ending;
+    /**
+     * Sets the action for the termination of the process; null for none.
+     *
+     * @return false if the process is already terminating, so that the action will not run
+     */
+    synchronized boolean setTerminateAction(Runnable action) {
+        terminateAction = action;
+        return !terminating;
     }
 }
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -26,23 +26,25 @@
 import yewpath.outcome.NoticeSender;
 
 /**
- * The one that speaks with Logic. A round: what was gathered is handed in, Logic closes the round, the ledger
- * is written, and only then does anything leave that rests on it.
+ * Connects the event loop, the ledger and the network code with the delivery policy. In each round the
+ * queued events are reported to the policy, the policy completes the round, the ledger is written, and
+ * only then are the responses and requests sent that depend on the written records.
  */
 final class Relay implements PolicyActions, MessageIntake {
-    /** One call to make: an endpoint and what Logic sent there in this round. */
-    private static final class Sending {
+    /** A call to start at the end of this round: an endpoint and the messages that the policy sent to it. */
+    private static final class PendingCall {
         final int endpoint;
-        final List<HeldMessage> carried = new ArrayList<>(1);
-        long endsAt;
+        final List<TrackedMessage> messages = new ArrayList<>(1);
+        long deadlineMicros;
 
-        Sending(int endpoint) {
+        PendingCall(int endpoint) {
             this.endpoint = endpoint;
         }
     }
 
-    /** Egress's outcomes as events name them. */
-    private static final String[] OUTCOMES = {"fulfilled", "error", "full", "timeout", "unreached", "broken",
+    /** The outcomes of {@link PolicyActions} by their names in log events, indexed by outcome. */
+    private static final String[] OUTCOME_LABELS = {"fulfilled", "error", "full", "timeout", "unreached",
+        "broken",
         "cancelled",
         "moot", "stale"};
 
@@ -50,151 +52,175 @@
     private final Ledger ledger;
     private final LedgerWriter ledgerWriter;
     private final PlatformSettings platformSettings;
-    private final DeliveryPolicy logic;
+    private final DeliveryPolicy policy;
     private final Delivery delivery;
     private final NoticeSender notices;
     private final Endpoints endpoints;
-    private final DiscoveryClient watch;
-    private final HeldMessages envelopes;
+    private final DiscoveryClient discoveryClient;
+    private final MessageTable messages;
     private final KeyOrder keyOrder = new KeyOrder();
-    private final Shutdown closing;
-    private final int holdLimit;
-    /** That of envelopes from an earlier life whose offering the settings of this one don't name. */
-    private final int unknownOffering;
-    private final boolean tellsPause;
-    private final long listBy;
-    /** Of this round: envelopes whose clients wait, what Logic asked for, and calls that more may join. */
-    private final List<HeldMessage> taken = new ArrayList<>();
-    private final List<Runnable> acts = new ArrayList<>();
-    private final Map<Integer, Sending> joining = new HashMap<>();
-    private long rounds;
-    private long takenEver;
-    private long fulfilledEver;
-    private long deferredEver;
-    private long abortedEver;
+    private final Shutdown shutdown;
+    private final int maxOpenMessages;
+    /** The index of the class for restored messages whose class the configuration does not name. */
+    private final int unknownMessageClass;
+    /** Whether responses to clients may contain Retry-After. */
+    private final boolean reportsRetryAfter;
+    /** When the configured endpoint list is used even if discovery has not answered. */
+    private final long listDeadlineMicros;
+    /** Messages accepted in this round; their clients wait for the response. */
+    private final List<TrackedMessage> acceptedInRound = new ArrayList<>();
+    /** Actions that the policy asked for in this round; run once the ledger is written. */
+    private final List<Runnable> actions = new ArrayList<>();
+    /** The latest call of this round to each endpoint, which further messages may join. */
+    private final Map<Integer, PendingCall> openBatches = new HashMap<>();
+    private long roundCount;
+    private long acceptedCount;
+    private long deliveredCount;
+    private long rejectedCount;
+    private long failedCount;
 
+    /**
+     * Creates a relay, restores the messages of the ledger and starts to follow discovery. Like all
+     * methods it must be called on the I/O thread.
+     *
+     * @param ledger the opened ledger
+     */
     Relay(Config config, EventLoop loop, Ledger ledger) {
         this.loop = loop;
         this.ledger = ledger;
         platformSettings = config.platformSettings;
         Limits limits = config.limits;
         PolicySettings settings = platformSettings.policySettings;
-        unknownOffering = settings.messageClasses.length;
+        unknownMessageClass = settings.messageClasses.length;
         if (ledger.entries().stream()
             .anyMatch(entry -> platformSettings.messageClasses.find(entry.messageClass) < 0)) {
-            addUnknown(settings);
+            addUnknownMessageClass(settings);
         }
-        // A call that finds all connections in use would have none: what Logic may have out is what can be held.
+        // The number of concurrent calls is limited to the number of connections: a further call would
+        // have no connection.
         settings.maxConcurrentCalls = Math.min(settings.maxConcurrentCalls, limits.maxEndpointConnections());
-        holdLimit = settings.maxOpenMessages > 0 ? settings.maxOpenMessages : Integer.MAX_VALUE;
-        tellsPause = settings.reportsRetryAfter;
-        envelopes = new HeldMessages(settings.settleAfterUncertainMicros);
-        closing = new Shutdown(loop, limits);
-        notices = new NoticeSender(loop, limits, config.discovery, this::told);
+        maxOpenMessages = settings.maxOpenMessages > 0 ? settings.maxOpenMessages : Integer.MAX_VALUE;
+        reportsRetryAfter = settings.reportsRetryAfter;
+        messages = new MessageTable(settings.settleAfterUncertainMicros);
+        shutdown = new Shutdown(loop, limits);
+        notices = new NoticeSender(loop, limits, config.discoveryAddress, this::onNoticeAcknowledged);
         ledgerWriter = new LedgerWriter(loop, ledger, notices::add);
         delivery = new Delivery(loop, limits, platformSettings.reportFields, ledgerWriter::flush);
         loop.setRoundAction(this::round);
-        logic = new DeliveryPolicy(settings, config.seed, this, loop.nowMicros());
-        endpoints = new Endpoints(platformSettings, logic, delivery);
-        watch = new DiscoveryClient(loop, limits, config.discovery, endpoints.start(config.known), endpoints,
-            settings.listOnRequest ? () -> loop.enqueue(logic::endpointListFailed) : null);
+        policy = new DeliveryPolicy(settings, config.seed, this, loop.nowMicros());
+        endpoints = new Endpoints(platformSettings, policy, delivery);
+        discoveryClient = new DiscoveryClient(loop, limits, config.discoveryAddress,
+            endpoints.loadConfigured(config.configuredEndpoints), endpoints,
+            settings.listOnRequest ? () -> loop.enqueue(policy::endpointListFailed) : null);
         if (!settings.listOnRequest) {
-            watch.startWatch();
+            discoveryClient.startWatch();
         }
         ledger.entries().forEach(this::restore);
-        listBy = settings.listOnRequest ? 0 : loop.nowMicros() + limits.connectTimeoutMicros();
+        listDeadlineMicros = settings.listOnRequest ? 0 : loop.nowMicros() + limits.connectTimeoutMicros();
         loop.schedule(limits.connectTimeoutMicros(), loop::requestRound);
         loop.requestRound();
     }
 
     /**
-     * Guards against shots to endpoints that began to drain while no process ran: the list that the configuration
-     * brings is as old as that, and what a ledger gives back would leave before discovery's first word, some
-     * milliseconds later. Where discovery stays silent for as long as a connection may take to open,
-     * the old list has to do. A relay that asks for the list does
-     * so by Logic's own turn.
+     * Whether the endpoint list may be outdated, so that nothing may be sent. The list in the
+     * configuration is as old as the file. Guards against attempts to endpoints that began to drain while
+     * no process was running: messages restored from the ledger would be sent some milliseconds before the
+     * first list arrives from discovery. If discovery does not answer within the connect timeout, the
+     * configured list is used. If the list is only available on request, the policy requests it itself.
      */
-    private boolean listIsOld(long now) {
-        return now < listBy && !watch.hasAnswered();
+    private boolean isListOutdated(long nowMicros) {
+        return nowMicros < listDeadlineMicros && !discoveryClient.hasAnswered();
     }
 
     /**
-     * Guards against giving up, untried, what an earlier life took on under a name that the settings don't have any more. Of
-     * its kind nothing is known, so it is handled with the most care: sent once, in the order of its key, after the others.
+     * Adds a message class for restored messages whose class is no longer configured. Guards against such
+     * messages failing without an attempt. The properties of their class are unknown, so the most careful
+     * ones apply: a message is attempted at most once, in the order of its key, and after the messages of
+     * all other classes.
      */
-    private static void addUnknown(PolicySettings settings) {
+    private static void addUnknownMessageClass(PolicySettings settings) {
         int last = settings.messageClasses.length;
         double revenue = Arrays.stream(settings.messageClasses)
             .mapToDouble(PolicySettings.MessageClass::revenue).min()
             .orElse(0);
-        long expiry = Arrays.stream(settings.messageClasses)
+        long timeToLive = Arrays.stream(settings.messageClasses)
             .mapToLong(PolicySettings.MessageClass::timeToLiveMicros).max().orElse(0);
         settings.messageClasses = Arrays.copyOf(settings.messageClasses, last + 1);
-        settings.messageClasses[last] = new PolicySettings.MessageClass(revenue, revenue, expiry, expiry,
+        settings.messageClasses[last] = new PolicySettings.MessageClass(revenue, revenue, timeToLive,
+            timeToLive,
             PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, true);
     }
 
+    /** Restores a message from the ledger, or the notice that is still owed for it. */
     private void restore(LedgerEntry entry) {
         if (entry.noticeOwed) {
-            owe(entry);
+            queueNotice(entry);
             return;
         }
-        int offering = platformSettings.messageClasses.find(entry.messageClass);
-        hand(envelopes.add(entry, loop.nowMicros()), offering < 0 ? unknownOffering : offering,
+        int messageClass = platformSettings.messageClasses.find(entry.messageClass);
+        reportToPolicy(messages.add(entry, loop.nowMicros()),
+            messageClass < 0 ? unknownMessageClass : messageClass,
             platformSettings.zones.getOrAdd(entry.uncertainZone));
         if (Log.isEnabled(Event.MESSAGE_RESTORED)) {
             Log.log(Event.MESSAGE_RESTORED, entry.id, entry.attempts, entry.uncertainSinceMicros >= 0);
         }
     }
 
-    private void hand(HeldMessage one, int offering, int doubtZone) {
-        LedgerEntry entry = one.entry;
-        logic.messageAccepted(one.index, offering,
-            entry.tenant == null ? -1 : platformSettings.tenants.find(entry.tenant), one.key,
-            endpoints.destination(entry.destination), entry.deadlineMicros, entry.attempts,
-            entry.uncertainSinceMicros, doubtZone);
+    /**
+     * Reports an accepted or restored message to the policy.
+     *
+     * @param uncertainZone the zone of the first attempt with unknown outcome; ignored if there is none
+     */
+    private void reportToPolicy(TrackedMessage message, int messageClass, int uncertainZone) {
+        LedgerEntry entry = message.entry;
+        policy.messageAccepted(message.index, messageClass,
+            entry.tenant == null ? -1 : platformSettings.tenants.find(entry.tenant), message.keyIndex,
+            endpoints.destinationIndex(entry.destination), entry.deadlineMicros, entry.attempts,
+            entry.uncertainSinceMicros, uncertainZone);
     }
 
     // ---- Rounds
 
+    /** Runs one round of the event loop. */
     private void round() {
-        rounds++;
-        long now = loop.nowMicros();
-        logic.setTime(now);
+        roundCount++;
+        long nowMicros = loop.nowMicros();
+        policy.setTime(nowMicros);
         loop.runQueuedEvents();
-        boolean maySend = closing.mayShoot(now) && !listIsOld(now) && ledger.isWritable();
-        EventLoop.runLoggingFailures(() -> logic.completeRound(maySend));
-        joining.clear();
+        boolean maySend = shutdown.mayStartAttempts(nowMicros) && !isListOutdated(nowMicros)
+            && ledger.isWritable();
+        EventLoop.runLoggingFailures(() -> policy.completeRound(maySend));
+        openBatches.clear();
         if (!ledgerWriter.flush()) {
-            refuseTaken();
+            refuseAcceptedMessages();
         }
-        answerClients();
-        for (Runnable act : acts) {
-            EventLoop.runLoggingFailures(act);
+        confirmAcceptedMessages();
+        for (Runnable action : actions) {
+            EventLoop.runLoggingFailures(action);
         }
-        acts.clear();
+        actions.clear();
         ledgerWriter.flush();
     }
 
-    /** What could not be written down is not taken on. */
-    private void refuseTaken() {
-        for (HeldMessage one : List.copyOf(taken)) {
-            ledger.discard(one.entry);
-            if (!one.over) {
-                refuse(one.entry.id, "disk", one.reply);
-                one.reply = null;
-                one.left = true;
-                loop.enqueue(() -> letGo(one));
+    /** Refuses the messages accepted in this round, because they could not be written to the ledger. */
+    private void refuseAcceptedMessages() {
+        for (TrackedMessage message : List.copyOf(acceptedInRound)) {
+            ledger.discard(message.entry);
+            if (!message.ended) {
+                refuse(message.entry.id, "disk", message.reply);
+                message.reply = null;
+                message.withdrawn = true;
+                loop.enqueue(() -> endWithdrawn(message));
             }
         }
-        taken.clear();
+        acceptedInRound.clear();
     }
 
-    // ---- Intake
+    // ---- Accepting messages
 
     @Override
     public boolean isClosing() {
-        return closing.hasBegun();
+        return shutdown.isStarted();
     }
 
     @Override
@@ -203,25 +229,25 @@
     }
 
     @Override
-    public boolean isKnownClass(String offering) {
-        return platformSettings.messageClasses.find(offering) >= 0;
+    public boolean isKnownClass(String messageClass) {
+        return platformSettings.messageClasses.find(messageClass) >= 0;
     }
 
     @Override
     public byte[] statistics() {
         return Json.write(out -> {
             out.writeStartObject();
-            out.writeNumberField("open", envelopes.open());
+            out.writeNumberField("open", messages.openCount());
             out.writeNumberField("calls_out", delivery.callsInFlight());
             out.writeNumberField("endpoint_links", delivery.connectionCount());
             out.writeNumberField("notices_owed", notices.unacknowledgedCount());
             out.writeNumberField("ledger_bytes", ledger.fileBytes());
             out.writeBooleanField("ledger_writable", ledger.isWritable());
-            out.writeNumberField("rounds", rounds);
-            out.writeNumberField("taken", takenEver);
-            out.writeNumberField("fulfilled", fulfilledEver);
-            out.writeNumberField("deferred", deferredEver);
-            out.writeNumberField("aborted", abortedEver);
+            out.writeNumberField("rounds", roundCount);
+            out.writeNumberField("taken", acceptedCount);
+            out.writeNumberField("fulfilled", deliveredCount);
+            out.writeNumberField("deferred", rejectedCount);
+            out.writeNumberField("aborted", failedCount);
             out.writeNumberField("log_dropped", Log.droppedLines());
             out.writeEndObject();
             out.writeRaw('\n');
@@ -229,338 +255,388 @@
     }
 
     @Override
-    public void submit(String id, String offering, String tenant, String key, String tag, String destination,
-        long within, byte[] body, Reply reply) {
-        long expiry = loop.nowMicros() + within;
-        loop.enqueue(() -> take(id, offering, tenant, key, tag, destination, expiry, body, reply));
-    }
-
-    private void take(String id, String offering, String tenant, String key, String tag, String destination,
-        long expiry, byte[] body, Reply reply) {
+    public void submit(String id, String messageClass, String tenant, String affinityKey,
+        String idempotencyKey, String destination,
+        long timeoutMicros, byte[] body, Reply reply) {
+        long deadlineMicros = loop.nowMicros() + timeoutMicros;
+        loop.enqueue(() -> accept(id, messageClass, tenant, affinityKey, idempotencyKey, destination,
+            deadlineMicros, body, reply));
+    }
+
+    /** Accepts or refuses a submitted message; runs in the round after its submission. */
+    private void accept(String id, String messageClass, String tenant, String affinityKey,
+        String idempotencyKey, String destination,
+        long deadlineMicros, byte[] body, Reply reply) {
         if (reply.isClientGone()) {
             return;
         }
-        if (envelopes.has(id)) {
-            // Already taken on under this id: its end is owed once, and is.
+        if (messages.contains(id)) {
+            // The message was accepted already under this id; it still gets exactly one outcome.
             reply.send(202, 0);
             return;
         }
-        LedgerEntry entry = ledger.createEntry(id, offering, tenant, key, tag, destination, expiry, body);
+        LedgerEntry entry = ledger.createEntry(id, messageClass, tenant, affinityKey, idempotencyKey,
+            destination, deadlineMicros, body);
         String refusal = isClosing() ? "closing" : !ledger.isWritable() ? "disk"
-            : envelopes.open() >= holdLimit ? "hold" : !ledger.hasRoomFor(entry) ? "ledger"
-                // Held, it would take the room of others until its expiry, and each such number would be kept for good; but
-                // the list that names it may only be late, so the client is to come again.
-                : !endpoints.knowsDestination(destination) ? "unlisted" : null;
+            : messages.openCount() >= maxOpenMessages ? "hold" : !ledger.hasRoomFor(entry) ? "ledger"
+                // A message to an unlisted destination would occupy space until its deadline, and the
+                // number of each such destination would be kept forever. The list that names the
+                // destination may only be late, so the client may retry.
+                : !endpoints.isListedDestination(destination) ? "unlisted" : null;
         if (refusal != null) {
             refuse(id, refusal, reply);
             return;
         }
-        // Written down at once, so that the next of the same round finds what room is left.
+        // Recorded at once, so that the space check of the next message in this round includes it.
         ledger.recordAccepted(entry);
-        HeldMessage one = envelopes.add(entry, loop.nowMicros());
-        one.reply = reply;
-        taken.add(one);
-        takenEver++;
+        TrackedMessage message = messages.add(entry, loop.nowMicros());
+        message.reply = reply;
+        acceptedInRound.add(message);
+        acceptedCount++;
         if (Log.isEnabled(Event.MESSAGE_ACCEPTED)) {
-            Log.log(Event.MESSAGE_ACCEPTED, id, offering, tenant, destination,
-                (expiry - loop.nowMicros()) / 1000,
+            Log.log(Event.MESSAGE_ACCEPTED, id, messageClass, tenant, destination,
+                (deadlineMicros - loop.nowMicros()) / 1000,
                 body.length);
         }
-        hand(one, platformSettings.messageClasses.find(offering), 0);
+        reportToPolicy(message, platformSettings.messageClasses.find(messageClass), 0);
     }
 
-    private void refuse(String id, String why, Reply reply) {
+    /**
+     * Answers 503 to a message that is not accepted.
+     *
+     * @param reason the reason as the log event names it
+     */
+    private void refuse(String id, String reason, Reply reply) {
         if (Log.isEnabled(Event.MESSAGE_REFUSED)) {
-            Log.log(Event.MESSAGE_REFUSED, id, why);
+            Log.log(Event.MESSAGE_REFUSED, id, reason);
         }
-        reply.send(503, tellsPause ? logic.resubmitDelayMicros() : 0);
+        reply.send(503, reportsRetryAfter ? policy.resubmitDelayMicros() : 0);
     }
 
-    /** The first thing to leave in a round: that envelopes handed in are taken on. */
-    private void answerClients() {
-        List<HeldMessage> due = List.copyOf(taken);
-        taken.clear();
-        due.forEach(one -> EventLoop.runLoggingFailures(() -> answerClient(one)));
+    /** Confirms to the clients that their messages are accepted; sent first in a round. */
+    private void confirmAcceptedMessages() {
+        List<TrackedMessage> accepted = List.copyOf(acceptedInRound);
+        acceptedInRound.clear();
+        accepted.forEach(message -> EventLoop.runLoggingFailures(() -> confirmAccepted(message)));
     }
 
-    private void answerClient(HeldMessage one) {
-        Reply reply = one.reply;
-        one.reply = null;
-        if (!one.over && !reply.send(202, 0)) {
-            // It may hand the envelope in again under another id.
-            one.left = true;
-            loop.enqueue(() -> withdraw(one));
+    private void confirmAccepted(TrackedMessage message) {
+        Reply reply = message.reply;
+        message.reply = null;
+        if (!message.ended && !reply.send(202, 0)) {
+            // The client has no confirmation and may submit the message again under another id.
+            message.withdrawn = true;
+            loop.enqueue(() -> withdraw(message));
         }
     }
 
-    private void withdraw(HeldMessage one) {
-        if (!one.over) {
-            Log.log(Event.MESSAGE_WITHDRAWN, one.entry.id);
+    /** Ends a message whose client disconnected before it was confirmed. */
+    private void withdraw(TrackedMessage message) {
+        if (!message.ended) {
+            Log.log(Event.MESSAGE_WITHDRAWN, message.entry.id);
         }
-        letGo(one);
+        endWithdrawn(message);
     }
 
-    private void letGo(HeldMessage one) {
-        if (!one.over) {
-            logic.messageWithdrawn(one.index);
-            ledger.recordCompleted(one.entry);
-            envelopes.end(one, loop.nowMicros());
+    /** Ends a withdrawn message without an outcome, unless it has ended meanwhile. */
+    private void endWithdrawn(TrackedMessage message) {
+        if (!message.ended) {
+            policy.messageWithdrawn(message.index);
+            ledger.recordCompleted(message.entry);
+            messages.end(message, loop.nowMicros());
         }
     }
 
     // ---- Delivery
 
     @Override
-    public void send(int envelope, int endpoint, long withinMicros, long leaveBy) {
-        HeldMessage one = envelopes.at(envelope);
-        one.leaveBy = leaveBy;
-        one.shotsOut++;
-        one.shots++;
-        long endsAt = withinMicros > 0 ? Math.min(one.entry.deadlineMicros, loop.nowMicros() + withinMicros)
-            : one.entry.deadlineMicros;
-        Sending sending = joining.get(endpoint);
-        if (sending == null || sending.carried.size() >= endpoints.bundle(endpoint)) {
-            Sending begun = new Sending(endpoint);
-            sending = begun;
-            joining.put(endpoint, begun);
-            acts.add(() -> shoot(begun));
-        }
-        sending.carried.add(one);
-        sending.endsAt = Math.max(sending.endsAt, endsAt);
-    }
-
-    private void shoot(Sending sending) {
+    public void send(int messageIndex, int endpoint, long timeoutMicros, long sendByMicros) {
+        TrackedMessage message = messages.get(messageIndex);
+        message.sendByMicros = sendByMicros;
+        message.attemptsInFlight++;
+        message.attemptCount++;
+        long deadlineMicros = timeoutMicros > 0
+            ? Math.min(message.entry.deadlineMicros, loop.nowMicros() + timeoutMicros)
+            : message.entry.deadlineMicros;
+        PendingCall pendingCall = openBatches.get(endpoint);
+        if (pendingCall == null || pendingCall.messages.size() >= endpoints.maxBatchSize(endpoint)) {
+            PendingCall created = new PendingCall(endpoint);
+            pendingCall = created;
+            openBatches.put(endpoint, created);
+            actions.add(() -> startCall(created));
+        }
+        pendingCall.messages.add(message);
+        pendingCall.deadlineMicros = Math.max(pendingCall.deadlineMicros, deadlineMicros);
+    }
+
+    /**
+     * Starts a call with its messages. A withdrawn message is not sent. An ordered message whose key is
+     * blocked gets a call of its own, which starts when the key is unblocked.
+     */
+    private void startCall(PendingCall pendingCall) {
         List<Call.Attempt> attempts = new ArrayList<>();
-        List<HeldMessage> with = new ArrayList<>();
-        for (HeldMessage one : sending.carried) {
-            one.attempt = new Shot(one, sending.endpoint);
-            if (one.left) {
-                one.attempt.onEnd(NOT_EXECUTED, 0, true, Double.NaN, Double.NaN);
-                one.attempt.onCallEnd();
-            } else if (isOrdered(one.entry) && keyOrder.isHeld(one.entry.key)) {
-                Call waits = delivery.prepareCall(sending.endpoint, List.of(one.attempt), sending.endsAt);
-                one.call = waits;
-                keyOrder.whenOver(one.entry.key, () -> delivery.startPreparedCall(waits, sending.endsAt));
+        List<TrackedMessage> sentMessages = new ArrayList<>();
+        for (TrackedMessage message : pendingCall.messages) {
+            message.attempt = new MessageAttempt(message, pendingCall.endpoint);
+            if (message.withdrawn) {
+                message.attempt.onEnd(NOT_EXECUTED, 0, true, Double.NaN, Double.NaN);
+                message.attempt.onCallEnd();
+            } else if (isOrdered(message.entry) && keyOrder.isBlocked(message.entry.key)) {
+                Call waitingCall = delivery.prepareCall(pendingCall.endpoint, List.of(message.attempt),
+                    pendingCall.deadlineMicros);
+                message.call = waitingCall;
+                keyOrder.runWhenUnblocked(message.entry.key,
+                    () -> delivery.startPreparedCall(waitingCall, pendingCall.deadlineMicros));
             } else {
-                attempts.add(one.attempt);
-                with.add(one);
+                attempts.add(message.attempt);
+                sentMessages.add(message);
             }
         }
         Call call = attempts.isEmpty() ? null
-            : delivery.startCall(sending.endpoint, attempts, sending.endsAt);
-        with.forEach(one -> one.call = call);
+            : delivery.startCall(pendingCall.endpoint, attempts, pendingCall.deadlineMicros);
+        sentMessages.forEach(message -> message.call = call);
     }
 
-    /** One of an offering that is not known any more may have been. */
+    /**
+     * Whether the messages with the key of this one are delivered in order. A class that is no longer
+     * configured may have been ordered.
+     */
     private boolean isOrdered(LedgerEntry entry) {
-        int offering = platformSettings.messageClasses.find(entry.messageClass);
+        int messageClass = platformSettings.messageClasses.find(entry.messageClass);
         return entry.key != null
-            && (offering < 0 || platformSettings.policySettings.messageClasses[offering].ordered());
+            && (messageClass < 0 || platformSettings.policySettings.messageClasses[messageClass].ordered());
     }
 
-    /** An envelope's part in a call, and what its end leaves to be done. */
-    private final class Shot implements Call.Attempt {
-        private final HeldMessage one;
+    /** One attempt to deliver a message, as part of a call. */
+    private final class MessageAttempt implements Call.Attempt {
+        private final TrackedMessage message;
         private final int endpoint;
-        private final int number;
-        private final long sentAt = loop.nowMicros();
+        private final int attemptNumber;
+        private final long startedAtMicros = loop.nowMicros();
 
-        Shot(HeldMessage one, int endpoint) {
-            this.one = one;
+        MessageAttempt(TrackedMessage message, int endpoint) {
+            this.message = message;
             this.endpoint = endpoint;
-            number = one.shots - 1;
+            attemptNumber = message.attemptCount - 1;
         }
 
         @Override
         public String id() {
-            return one.entry.id;
+            return message.entry.id;
         }
 
         @Override
         public String affinityKey() {
-            return one.entry.key;
+            return message.entry.key;
         }
 
         @Override
         public String idempotencyKey() {
-            return one.entry.idempotencyKey;
+            return message.entry.idempotencyKey;
         }
 
         @Override
         public byte[] body() {
-            return one.entry.body;
+            return message.entry.body;
         }
 
         @Override
         public long deadlineMicros() {
-            return one.entry.deadlineMicros;
+            return message.entry.deadlineMicros;
         }
 
         @Override
         public long sendByMicros() {
-            return one.leaveBy;
+            return message.sendByMicros;
         }
 
         @Override
         public void beforeSend() {
-            ledger.recordAttempt(one.entry, loop.nowMicros(), endpoints.zone(endpoint));
+            ledger.recordAttempt(message.entry, loop.nowMicros(), endpoints.zone(endpoint));
             if (Log.isEnabled(Event.ATTEMPT_STARTED)) {
-                Log.log(Event.ATTEMPT_STARTED, one.entry.id, number, endpoints.name(endpoint));
+                Log.log(Event.ATTEMPT_STARTED, message.entry.id, attemptNumber, endpoints.name(endpoint));
             }
         }
 
         @Override
-        public void onEnd(int outcome, long wait, boolean over, double left, double limit) {
-            long elapsed = loop.nowMicros() - sentAt;
-            if (isOrdered(one.entry)) {
-                keyOrder.begin(one.entry.key, this);
+        public void onEnd(int outcome, long retryAfterMicros, boolean finished, double remainingShare,
+            double reportedLimit) {
+            long elapsedMicros = loop.nowMicros() - startedAtMicros;
+            if (isOrdered(message.entry)) {
+                keyOrder.block(message.entry.key, this);
             }
-            if (wait > 0) {
-                endpoints.waitTold(endpoint);
+            if (retryAfterMicros > 0) {
+                endpoints.retryAfterReceived(endpoint);
             }
-            loop.enqueue(() -> settle(outcome, wait, over, elapsed, left, limit));
+            loop.enqueue(() -> completeAttempt(outcome, retryAfterMicros, finished, elapsedMicros,
+                remainingShare, reportedLimit));
         }
 
         @Override
         public void onCallEnd() {
-            keyOrder.end(this);
-        }
-
-        private void settle(int outcome, long wait, boolean over, long elapsed, double left, double limit) {
-            if (over && !one.over) {
-                fulfilledEver += outcome == DELIVERED ? 1 : 0;
-                ledger.recordCompleted(one.entry);
-            } else if (!one.over) {
-                ledger.recordAttemptEnded(one.entry,
+            keyOrder.unblock(this);
+        }
+
+        /**
+         * Records the end of the attempt and reports it to the policy; runs in the next round.
+         *
+         * @param finished whether nothing more is owed for the message
+         */
+        private void completeAttempt(int outcome, long retryAfterMicros, boolean finished, long elapsedMicros,
+            double remainingShare, double reportedLimit) {
+            if (finished && !message.ended) {
+                deliveredCount += outcome == DELIVERED ? 1 : 0;
+                ledger.recordCompleted(message.entry);
+            } else if (!message.ended) {
+                ledger.recordAttemptEnded(message.entry,
                     outcome == OVERLOADED || outcome == UNREACHABLE || outcome == NOT_EXECUTED);
             }
-            one.call = null;
+            message.call = null;
             if (Log.isEnabled(Event.ATTEMPT_FAILED)) {
-                tellEnd(outcome, wait, over, elapsed);
+                logEnd(outcome, retryAfterMicros, finished, elapsedMicros);
             }
-            logic.attemptEnded(one.index, over || one.over, number, endpoint, outcome, wait, elapsed, left,
-                limit);
-            one.shotsOut--;
-            if (over) {
-                envelopes.end(one, loop.nowMicros());
+            policy.attemptEnded(message.index, finished || message.ended, attemptNumber, endpoint, outcome,
+                retryAfterMicros, elapsedMicros, remainingShare,
+                reportedLimit);
+            message.attemptsInFlight--;
+            if (finished) {
+                messages.end(message, loop.nowMicros());
             }
-            envelopes.release(one, loop.nowMicros());
+            messages.release(message, loop.nowMicros());
         }
 
-        private void tellEnd(int outcome, long wait, boolean over, long elapsed) {
-            if (over) {
-                Log.log(Event.MESSAGE_DELIVERED, one.entry.id, number, endpoints.name(endpoint),
-                    elapsed / 1000);
+        private void logEnd(int outcome, long retryAfterMicros, boolean finished, long elapsedMicros) {
+            if (finished) {
+                Log.log(Event.MESSAGE_DELIVERED, message.entry.id, attemptNumber, endpoints.name(endpoint),
+                    elapsedMicros / 1000);
             } else {
-                Log.log(Event.ATTEMPT_FAILED, one.entry.id, number, endpoints.name(endpoint),
-                    OUTCOMES[outcome],
-                    elapsed / 1000, wait / 1000);
+                Log.log(Event.ATTEMPT_FAILED, message.entry.id, attemptNumber, endpoints.name(endpoint),
+                    OUTCOME_LABELS[outcome],
+                    elapsedMicros / 1000, retryAfterMicros / 1000);
             }
         }
     }
 
     @Override
-    public void cancelAttempt(int envelope, int shot) {
-        HeldMessage one = envelopes.at(envelope);
-        acts.add(() -> {
-            // An envelope has one shot out at most: the one meant.
-            if (one != null && one.call != null) {
-                one.call.cancel(one.attempt);
+    public void cancelAttempt(int messageIndex, int attempt) {
+        TrackedMessage message = messages.get(messageIndex);
+        actions.add(() -> {
+            // A message has at most one attempt in flight, so the current call is the one to cancel.
+            if (message != null && message.call != null) {
+                message.call.cancel(message.attempt);
             }
         });
     }
 
     @Override
     public void closeIdleConnections(int endpoint) {
-        acts.add(() -> delivery.closeIdle(endpoint));
+        actions.add(() -> delivery.closeIdle(endpoint));
     }
 
     @Override
     public void releaseEndpoint(int endpoint) {
-        endpoints.forget(endpoint);
+        endpoints.release(endpoint);
     }
 
     @Override
-    public void endpointHealthChanged(int endpoint, boolean well) {
-        Log.log(well ? Event.ENDPOINT_HEALTHY : Event.ENDPOINT_UNHEALTHY, endpoints.name(endpoint));
+    public void endpointHealthChanged(int endpoint, boolean healthy) {
+        Log.log(healthy ? Event.ENDPOINT_HEALTHY : Event.ENDPOINT_UNHEALTHY, endpoints.name(endpoint));
     }
 
-    // ---- Ends
+    // ---- Messages ended by the policy
 
     @Override
-    public void reject(int envelope, long pauseMicros) {
-        deferredEver++;
-        finish(envelopes.at(envelope), true, tellsPause ? pauseMicros : 0);
+    public void reject(int messageIndex, long retryAfterMicros) {
+        rejectedCount++;
+        finish(messages.get(messageIndex), true, reportsRetryAfter ? retryAfterMicros : 0);
     }
 
     @Override
-    public void fail(int envelope) {
-        abortedEver++;
-        finish(envelopes.at(envelope), false, 0);
+    public void fail(int messageIndex) {
+        failedCount++;
+        finish(messages.get(messageIndex), false, 0);
     }
 
-    private void finish(HeldMessage one, boolean handedBack, long pause) {
-        if (one.over) {
+    /**
+     * Ends a message without delivery and tells its client, either in the pending response or by a notice.
+     *
+     * @param rejected true if the client may submit the message again, false if the message failed
+     */
+    private void finish(TrackedMessage message, boolean rejected, long retryAfterMicros) {
+        if (message.ended) {
             return;
         }
-        if (handedBack) {
-            Log.log(Event.MESSAGE_REJECTED, one.entry.id, pause / 1000);
+        if (rejected) {
+            Log.log(Event.MESSAGE_REJECTED, message.entry.id, retryAfterMicros / 1000);
         } else {
-            Log.log(Event.MESSAGE_FAILED, one.entry.id);
+            Log.log(Event.MESSAGE_FAILED, message.entry.id);
         }
-        envelopes.end(one, loop.nowMicros());
-        if (one.reply != null) {
-            Reply reply = one.reply;
-            ledger.recordCompleted(one.entry);
-            acts.add(() -> reply.send(handedBack ? 503 : 500, pause));
+        messages.end(message, loop.nowMicros());
+        if (message.reply != null) {
+            Reply reply = message.reply;
+            ledger.recordCompleted(message.entry);
+            actions.add(() -> reply.send(rejected ? 503 : 500, retryAfterMicros));
         } else {
-            ledger.recordNoticeOwed(one.entry, handedBack, pause);
-            acts.add(() -> owe(one.entry));
+            ledger.recordNoticeOwed(message.entry, rejected, retryAfterMicros);
+            actions.add(() -> queueNotice(message.entry));
         }
     }
 
-    private void owe(LedgerEntry entry) {
+    /**
+     * Queues the notice of an outcome; later messages with the key of an ordered message wait until the
+     * notice is acknowledged.
+     */
+    private void queueNotice(LedgerEntry entry) {
         if (isOrdered(entry)) {
-            keyOrder.begin(entry.key, entry);
+            keyOrder.block(entry.key, entry);
         }
-        ledgerWriter.tellOnceWritten(entry);
+        ledgerWriter.notifyOnceWritten(entry);
     }
 
-    private void told(LedgerEntry entry) {
+    /** Records that the platform has received the outcome. */
+    private void onNoticeAcknowledged(LedgerEntry entry) {
         ledger.recordCompleted(entry);
-        keyOrder.end(entry);
+        keyOrder.unblock(entry);
         loop.requestRound();
     }
 
-    // ---- Time and list
+    // ---- Alarms and endpoint list
 
     @Override
-    public void setAlarm(long inMicros) {
-        loop.schedule(inMicros, () -> loop.enqueue(logic::alarmFired));
+    public void setAlarm(long delayMicros) {
+        loop.schedule(delayMicros, () -> loop.enqueue(policy::alarmFired));
     }
 
     @Override
-    public void requestEndpointList(boolean follow) {
-        acts.add(follow ? watch::startWatch : watch::fetchList);
+    public void requestEndpointList(boolean subscribe) {
+        actions.add(subscribe ? discoveryClient::startWatch : discoveryClient::fetchList);
     }
 
-    /** Held envelopes, calls and clients know nothing of it. */
-    void discoveryAt(InetSocketAddress address) {
-        watch.setAddress(address);
+    /**
+     * Changes the address of discovery and of the receiver of notices; messages, calls and clients are not
+     * affected.
+     */
+    void setDiscoveryAddress(InetSocketAddress address) {
+        discoveryClient.setAddress(address);
         notices.setAddress(address);
     }
 
-    // ---- Closing
+    // ---- Shutdown
 
-    void close(ClientListener listener, CountDownLatch gone) {
-        Log.log(Event.RELAY_CLOSING, envelopes.open(), delivery.callsInFlight());
-        closing.begin(listener, () -> delivery.callsInFlight() > 0 || notices.isSending(),
-            () -> envelopes.open() > 0,
-            gone);
+    /**
+     * Starts the shutdown.
+     *
+     * @param done counted down when the process may end
+     */
+    void startShutdown(ClientListener listener, CountDownLatch done) {
+        Log.log(Event.RELAY_CLOSING, messages.openCount(), delivery.callsInFlight());
+        shutdown.start(listener, () -> delivery.callsInFlight() > 0 || notices.isSending(),
+            () -> messages.openCount() > 0,
+            done);
     }
 
-    /** The last words, once closing is done. */
-    void closed() {
+    /** Compacts the ledger and logs the final event, once the shutdown is complete. */
+    void finishShutdown() {
         ledger.compact();
         Log.log(Event.RELAY_CLOSED, ledger.size(), delivery.callsInFlight());
     }
--- a/relay/src/main/java/yewpath/relay/RelayServer.java
+++ b/relay/src/main/java/yewpath/relay/RelayServer.java
@@ -19,17 +19,21 @@
 import yewpath.operator.OperatorKeys;
 import yewpath.operator.OperatorSettings;
 
-/** Starts a relay and ends it when the process is asked to. */
+/** Starts a relay, reloads its configuration and shuts it down on the signals of the process. */
 public final class RelayServer {
-    /** A platform takes a relay for failed that is not ready within 30 s. */
-    private static final long OPEN_WITHIN = 25_000_000;
-    private static final long OPEN_AGAIN_AFTER = 100_000;
+    /** The platform treats a relay as failed that is not ready within 30 s. */
+    private static final long OPEN_TIMEOUT_MICROS = 25_000_000;
+    private static final long OPEN_RETRY_DELAY_MICROS = 100_000;
 
     private RelayServer() {}
 
-    /** A relay that takes envelopes, and where it listens. */
+    /**
+     * A relay that accepts messages.
+     *
+     * @param address the address on which it listens
+     */
     public record Running(InetSocketAddress address, EventLoop loop, Ledger ledger) {
-        /** Leaves the lasting folder alone from now on, so that it can be removed. */
+        /** Closes the ledger, so that the state folder can be removed; returns when it is closed. */
         public void closeLedger() throws InterruptedException {
             CountDownLatch closed = new CountDownLatch(1);
             loop.thread().execute(() -> {
@@ -40,10 +44,16 @@
         }
     }
 
-    /** Returns once the relay takes envelopes; it goes on until the process ends. */
-    public static Running start(Config config, ProcessSignals asked)
+    /**
+     * Starts a relay, which runs until the process ends.
+     *
+     * @param signals the signals received so far, and the handlers of later ones
+     * @return the relay, once it accepts messages
+     * @throws IOException if the relay cannot start or the process is already terminating
+     */
+    public static Running start(Config config, ProcessSignals signals)
         throws IOException, InterruptedException {
-        logAsTold(config.operatorSettings);
+        configureLog(config.operatorSettings);
         Clock clock = new Clock();
         Ledger ledger = open(config, clock);
         XnioWorker worker = Xnio.getInstance("nio", RelayServer.class.getClassLoader())
@@ -54,20 +64,21 @@
         CountDownLatch started = new CountDownLatch(1);
         Exception[] failure = {null};
         Relay[] relay = {null};
-        InetSocketAddress[] at = {null};
+        InetSocketAddress[] listenAddress = {null};
         loop.thread().execute(() -> {
             try {
                 relay[0] = new Relay(config, loop, ledger);
                 ClientListener listener = new ClientListener(loop, config.limits, relay[0]);
-                // Ahead of the first client: none is met by a process that would end as if it had been killed.
-                if (asked.toEnd(() -> end(loop, relay[0], listener, config))) {
-                    at[0] = listener.listen(worker, config.listen);
+                // Set before the first client can connect: the process must not accept messages while a
+                // termination signal would end it without a shutdown.
+                if (signals.setTerminateAction(() -> terminate(loop, relay[0], listener, config))) {
+                    listenAddress[0] = listener.listen(worker, config.listenAddress);
                 } else {
-                    failure[0] = new IOException("asked to end before it had begun");
+                    failure[0] = new IOException("the process was terminated during the start");
                 }
-            } catch (IOException | RuntimeException e) {
-                asked.toEnd(null);
-                failure[0] = e;
+            } catch (IOException | RuntimeException exception) {
+                signals.setTerminateAction(null);
+                failure[0] = exception;
             }
             started.countDown();
         });
@@ -75,79 +86,94 @@
         if (failure[0] != null) {
             throw new IOException("cannot start: " + failure[0].getMessage(), failure[0]);
         }
-        Log.log(Event.RELAY_STARTED, config.name, at[0], ledger.size(), config.operatorFile);
-        Config[] inForce = {config};
-        asked.toReload(() -> reload(loop, relay[0], config, inForce));
-        return new Running(at[0], loop, ledger);
+        Log.log(Event.RELAY_STARTED, config.name, listenAddress[0], ledger.size(), config.operatorFile);
+        Config[] currentConfig = {config};
+        signals.setReloadAction(() -> reload(loop, relay[0], config, currentConfig));
+        return new Running(listenAddress[0], loop, ledger);
     }
 
-    /** Nothing is lost by waiting: what an earlier process took on cannot be delivered before it has been read. */
+    /**
+     * Opens the ledger, and retries for a while if the state folder cannot be read. Waiting loses nothing,
+     * because the messages of an earlier process cannot be delivered before the ledger is read.
+     */
     private static Ledger open(Config config, Clock clock) throws IOException, InterruptedException {
-        long deadline = clock.nowMicros() + OPEN_WITHIN;
+        long deadlineMicros = clock.nowMicros() + OPEN_TIMEOUT_MICROS;
         for (boolean isFirst = true;; isFirst = false) {
             try {
-                return new Ledger(config.state, config.limits.maxLiveLedgerBytes(),
+                return new Ledger(config.stateFolder, config.limits.maxLiveLedgerBytes(),
                     config.limits.ledgerCompactionBytes(),
                     config.limits.ledgerReservedBytesPerMessage(), clock.read());
-            } catch (IOException e) {
-                boolean isNoFolder = Files.exists(config.state) && !Files.isDirectory(config.state);
-                if (isNoFolder || clock.nowMicros() >= deadline) {
+            } catch (IOException exception) {
+                boolean isNotFolder = Files.exists(config.stateFolder)
+                    && !Files.isDirectory(config.stateFolder);
+                if (isNotFolder || clock.nowMicros() >= deadlineMicros) {
                     throw new IOException(
-                        "the lasting folder " + config.state + (isNoFolder ? " is no folder" : ": " + e), e);
+                        "the state folder " + config.stateFolder
+                            + (isNotFolder ? " is not a directory" : ": " + exception),
+                        exception);
                 }
                 if (isFirst) {
-                    Log.log(Event.LEDGER_UNREADABLE, e);
+                    Log.log(Event.LEDGER_UNREADABLE, exception);
                 }
-                TimeUnit.MICROSECONDS.sleep(OPEN_AGAIN_AFTER);
+                TimeUnit.MICROSECONDS.sleep(OPEN_RETRY_DELAY_MICROS);
             }
         }
     }
 
-    private static void logAsTold(OperatorSettings operator) {
-        Log.configure(operator.string(OperatorKeys.LOG_LEVEL),
-            operator.string(OperatorKeys.LOG_FORMAT).equals("json"),
-            (int) operator.number(OperatorKeys.LOG_MAX_LINES_PER_SECOND),
-            (int) operator.number(OperatorKeys.LOG_QUEUE_LINES));
+    private static void configureLog(OperatorSettings operatorSettings) {
+        Log.configure(operatorSettings.string(OperatorKeys.LOG_LEVEL),
+            operatorSettings.string(OperatorKeys.LOG_FORMAT).equals("json"),
+            (int) operatorSettings.number(OperatorKeys.LOG_MAX_LINES_PER_SECOND),
+            (int) operatorSettings.number(OperatorKeys.LOG_QUEUE_LINES));
     }
 
-    /** A new file that cannot be read, of the platform's or the operator's, leaves all as it was. */
-    private static void reload(EventLoop loop, Relay relay, Config started, Config[] inForce) {
-        Config anew;
+    /**
+     * Reads the configuration files again and applies what can change while the relay runs. If either file
+     * is invalid, nothing changes.
+     */
+    private static void reload(EventLoop loop, Relay relay, Config started, Config[] currentConfig) {
+        Config newConfig;
         try {
-            anew = inForce[0].again();
-        } catch (Config.InvalidConfigException e) {
-            Log.log(Event.RELAY_RELOAD_REFUSED, List.of(e.getMessage().split("\n")));
+            newConfig = currentConfig[0].reread();
+        } catch (Config.InvalidConfigException exception) {
+            Log.log(Event.RELAY_RELOAD_REFUSED, List.of(exception.getMessage().split("\n")));
             return;
         }
-        Config old = inForce[0];
-        inForce[0] = anew;
-        logAsTold(anew.operatorSettings);
+        Config oldConfig = currentConfig[0];
+        currentConfig[0] = newConfig;
+        configureLog(newConfig.operatorSettings);
         loop.thread().execute(() -> {
-            started.limits.update(anew.operatorSettings);
-            relay.discoveryAt(anew.discovery);
+            started.limits.update(newConfig.operatorSettings);
+            relay.setDiscoveryAddress(newConfig.discoveryAddress);
         });
-        Log.log(Event.RELAY_RELOADED, anew.discovery,
-            old.operatorSettings.changedKeys(anew.operatorSettings, true),
-            started.operatorSettings.changedKeys(anew.operatorSettings, false));
+        Log.log(Event.RELAY_RELOADED, newConfig.discoveryAddress,
+            oldConfig.operatorSettings.changedKeys(newConfig.operatorSettings, true),
+            started.operatorSettings.changedKeys(newConfig.operatorSettings, false));
     }
 
-    private static void end(EventLoop loop, Relay relay, ClientListener listener, Config config) {
-        CountDownLatch gone = new CountDownLatch(1);
+    /**
+     * Shuts the relay down gracefully, within the time limit, and ends the process with exit code 0.
+     *
+     * @param config the configuration of the start, whose limits a reload has updated
+     */
+    private static void terminate(EventLoop loop, Relay relay, ClientListener listener, Config config) {
+        CountDownLatch shutdownDone = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
-        loop.thread().execute(() -> relay.close(listener, gone));
+        loop.thread().execute(() -> relay.startShutdown(listener, shutdownDone));
         try {
-            long beat = config.limits.minShutdownMicros() / 10;
-            gone.await(config.limits.shutdownTimeoutMicros() + beat, TimeUnit.MICROSECONDS);
+            long checkIntervalMicros = config.limits.minShutdownMicros() / 10;
+            shutdownDone.await(config.limits.shutdownTimeoutMicros() + checkIntervalMicros,
+                TimeUnit.MICROSECONDS);
             loop.thread().execute(() -> {
-                relay.closed();
+                relay.finishShutdown();
                 closed.countDown();
             });
-            closed.await(beat, TimeUnit.MICROSECONDS);
-        } catch (InterruptedException e) {
+            closed.await(checkIntervalMicros, TimeUnit.MICROSECONDS);
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
         Log.flush(100);
-        // Without this the exit code would be that of the signal.
+        // Otherwise the exit code would be that of the signal.
         Runtime.getRuntime().halt(0);
     }
 }
--- a/relay/src/main/java/yewpath/relay/Shutdown.java
+++ b/relay/src/main/java/yewpath/relay/Shutdown.java
@@ -7,88 +7,107 @@
 import yewpath.loop.Limits;
 
 /**
- * The end of a relay, stage by stage. The process goes only once no client is left whose request it may have read, or
- * at the bound ahead of the kill: a connection that ends with the process is reset, whatever lies in it.
+ * The stages of a graceful shutdown. The process ends when no client is connected whose request it may
+ * have read, or at the time limit, which is before the platform kills the process. When the process ends,
+ * its remaining connections are reset and unread data in them is lost.
  */
 final class Shutdown {
-    /** In this order, none twice. */
+    /** The stages in their order; each is entered once. */
     private enum Stage {
         SERVING,
-        /** New envelopes are refused, calls go on. Clients still connect as if nothing were; left after closing.least. */
+        /**
+         * New messages are refused, calls continue. Clients still connect as usual. Ends after the time
+         * set by closing.least in the operator's file.
+         */
         REFUSING,
         /**
-         * Connections at rest are closed while others may still come: who meant to use one comes on a new one. Left
-         * when no call is out, no notice is under way and no shot can begin, or after closing.most.
+         * Idle client connections are closed, new ones are accepted, so that a client whose connection was
+         * closed can connect again. Ends when no call and no notice is in flight and no attempt can start,
+         * or after the time set by closing.most.
          */
         FINISHING,
-        /** Who has connected is let in, nobody after that; left when each has had its answer and gone, or at the bound. */
-        SHUTTING,
-        GONE
+        /**
+         * Connections made so far are accepted, further ones are not. Ends when every client has its
+         * response and is disconnected, or at the time limit.
+         */
+        DISCONNECTING,
+        DONE
     }
 
     private final EventLoop loop;
     private final Limits limits;
     private Stage stage = Stage.SERVING;
-    private long since;
+    private long startMicros;
 
     Shutdown(EventLoop loop, Limits limits) {
         this.loop = loop;
         this.limits = limits;
     }
 
-    boolean hasBegun() {
+    /** Whether the relay is shutting down. */
+    boolean isStarted() {
         return stage != Stage.SERVING;
     }
 
-    /** Late in closing no shot is begun any more that could not come to its end. */
-    boolean mayShoot(long now) {
-        return !hasBegun() || now - since < limits.shutdownNewAttemptsMicros();
+    /** Whether attempts may start: not late in a shutdown, when they might not end in time. */
+    boolean mayStartAttempts(long nowMicros) {
+        return !isStarted() || nowMicros - startMicros < limits.shutdownNewAttemptsMicros();
     }
 
-    /** {@code underWay}: calls that are out, and notices that the platform is about to hear. */
-    void begin(ClientListener listener, BooleanSupplier underWay, BooleanSupplier held, CountDownLatch gone) {
-        if (!hasBegun()) {
+    /**
+     * Starts the shutdown; does nothing if it has started already.
+     *
+     * @param requestsInFlight whether a call or a notice is in flight
+     * @param messagesOpen whether any message has not ended
+     * @param done counted down when the process may end
+     */
+    void start(ClientListener listener, BooleanSupplier requestsInFlight, BooleanSupplier messagesOpen,
+        CountDownLatch done) {
+        if (!isStarted()) {
             stage = Stage.REFUSING;
-            since = loop.nowMicros();
-            watch(listener, underWay, held, gone);
+            startMicros = loop.nowMicros();
+            advance(listener, requestsInFlight, messagesOpen, done);
         }
     }
 
-    private void watch(ClientListener listener, BooleanSupplier underWay, BooleanSupplier held,
-        CountDownLatch gone) {
-        long now = loop.nowMicros();
-        long beat = limits.minShutdownMicros() / 10;
-        long closingFor = now - since;
+    /** Enters the next stage when its condition is met; repeats until the last stage. */
+    private void advance(ClientListener listener, BooleanSupplier requestsInFlight,
+        BooleanSupplier messagesOpen,
+        CountDownLatch done) {
+        long nowMicros = loop.nowMicros();
+        long checkIntervalMicros = limits.minShutdownMicros() / 10;
+        long elapsedMicros = nowMicros - startMicros;
         if (stage != Stage.REFUSING) {
             listener.closeIdle();
         }
         switch (stage) {
             case REFUSING -> {
-                if (closingFor >= limits.minShutdownMicros()) {
+                if (elapsedMicros >= limits.minShutdownMicros()) {
                     stage = Stage.FINISHING;
                     listener.closeIdle();
                 }
             }
             case FINISHING -> {
-                boolean waits = underWay.getAsBoolean() || held.getAsBoolean() && mayShoot(now);
-                if (!waits || closingFor >= limits.maxShutdownCallWaitMicros()) {
-                    stage = Stage.SHUTTING;
+                boolean hasWork = requestsInFlight.getAsBoolean()
+                    || messagesOpen.getAsBoolean() && mayStartAttempts(nowMicros);
+                if (!hasWork || elapsedMicros >= limits.maxShutdownCallWaitMicros()) {
+                    stage = Stage.DISCONNECTING;
                     listener.stopAccepting();
                 }
             }
             default -> {
-                // Ahead of the bound, so that who is refused now has read its answer by then.
-                if (closingFor >= limits.shutdownTimeoutMicros() - 3 * beat) {
+                // Some time before the limit, so that clients refused now can read their response.
+                if (elapsedMicros >= limits.shutdownTimeoutMicros() - 3 * checkIntervalMicros) {
                     listener.closeRemaining();
                 }
-                if (listener.isDrained() || closingFor >= limits.shutdownTimeoutMicros()) {
-                    stage = Stage.GONE;
-                    gone.countDown();
+                if (listener.isDrained() || elapsedMicros >= limits.shutdownTimeoutMicros()) {
+                    stage = Stage.DONE;
+                    done.countDown();
                     return;
                 }
             }
         }
         loop.requestRound();
-        loop.schedule(beat, () -> watch(listener, underWay, held, gone));
+        loop.schedule(checkIntervalMicros, () -> advance(listener, requestsInFlight, messagesOpen, done));
     }
 }
--- a/relay/src/main/java/yewpath/relay/package-info.java
+++ b/relay/src/main/java/yewpath/relay/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The coordinator: gathers the events of a round, hands them to the decision module and carries out its
- * actions; also configuration, start, reload and graceful shutdown.
+ * Coordinates the relay: queues the events of a round, reports them to the delivery policy and carries out
+ * its actions. Also reads the configuration, and starts, reloads and shuts down the relay.
  */
 package yewpath.relay;
--- a/relay/src/test/java/yewpath/relay/ProcessSignalsTest.java
+++ b/relay/src/test/java/yewpath/relay/ProcessSignalsTest.java
@@ -8,40 +8,41 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What is asked by a signal is done once somebody can, whenever it came. */
+/** Checks that a signal takes effect as soon as the relay can handle it, whenever it was received. */
 public final class ProcessSignalsTest {
     private final List<String> done = new ArrayList<>();
 
     @Test
-    public void aReloadAskedForDuringAStartIsDoneOnceAtItsEnd() {
-        ProcessSignals asked = new ProcessSignals();
-        asked.hangUp();
-        asked.hangUp();
+    public void reloadsRequestedDuringStartRunOnceAfterStart() {
+        ProcessSignals signals = new ProcessSignals();
+        signals.handleHangup();
+        signals.handleHangup();
         done.clear();
-        asked.toReload(() -> done.add("reload"));
+        signals.setReloadAction(() -> done.add("reload"));
         assertEquals(done, List.of("reload"));
-        asked.hangUp();
+        signals.handleHangup();
         assertEquals(done.size(), 2);
     }
 
     @Test
-    public void anEndAskedForBeforeTheDoorOpensLeavesItShut() {
-        ProcessSignals asked = new ProcessSignals();
-        asked.terminate();
-        assertFalse(asked.toEnd(() -> done.add("end")), "the door would open in a process that ends");
+    public void terminationBeforeListeningPreventsListening() {
+        ProcessSignals signals = new ProcessSignals();
+        signals.handleTerminate();
+        assertFalse(signals.setTerminateAction(() -> done.add("end")),
+            "the relay would listen in a process that is terminating");
     }
 
     @Test
-    public void anEndAskedForLaterIsDoneUnlessTheStartFailed() {
+    public void laterTerminationRunsActionUnlessStartFailed() {
         done.clear();
-        ProcessSignals asked = new ProcessSignals();
-        assertTrue(asked.toEnd(() -> done.add("end")));
-        asked.terminate();
+        ProcessSignals signals = new ProcessSignals();
+        assertTrue(signals.setTerminateAction(() -> done.add("end")));
+        signals.handleTerminate();
         assertEquals(done, List.of("end"));
-        ProcessSignals failed = new ProcessSignals();
-        failed.toEnd(() -> done.add("end of a relay that never began"));
-        failed.toEnd(null);
-        failed.terminate();
+        ProcessSignals failedStart = new ProcessSignals();
+        failedStart.setTerminateAction(() -> done.add("termination of a relay that did not start"));
+        failedStart.setTerminateAction(null);
+        failedStart.handleTerminate();
         assertEquals(done.size(), 1);
     }
 }
