--- a/relay/src/main/java/yewpath/delivery/Call.java
+++ b/relay/src/main/java/yewpath/delivery/Call.java
@@ -11,30 +11,44 @@
 import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
 
-/** One call that is out, with one envelope or several; each hears of its own end once. */
+/** A call in flight, with one attempt or several. Each attempt is notified of its end exactly once. */
 public final class Call implements OutboundConnection.ResponseHandler {
-    /** An envelope in a call: what is sent of it, and what its end leaves to be done. */
+    /** One attempt to deliver a message: what is sent of it, and what to do at its end. */
     public interface Attempt {
+        /** The message's id. */
         String id();
 
+        /** The key that orders the message; null if it has none. */
         String affinityKey();
 
-        /** By which the endpoint knows it again; null where it has none. */
+        /** The key by which the endpoint recognizes a repeated message; null if it has none. */
         String idempotencyKey();
 
+        /** The content of the message. */
         byte[] body();
 
+        /** When the message expires, in microseconds. */
         long deadlineMicros();
 
-        /** What has not left whole by then is taken back. */
+        /** When the attempt is cancelled if it is not sent completely, in microseconds. */
         long sendByMicros();
 
-        /** Just before the call's bytes leave. */
+        /** Called just before the first byte of the call is sent. */
         void beforeSend();
 
-        void onEnd(int outcome, long wait, boolean over, double left, double limit);
-
-        /** After all of the call have ended: it is out no more. */
+        /**
+         * Called once, at the end of the attempt.
+         *
+         * @param outcome an outcome of {@link PolicyActions}
+         * @param retryAfterMicros the time for which the endpoint asked not to send; 0 if there is none
+         * @param finished whether the response ends the message, so that it is not attempted again
+         * @param remainingShare the unused share of the limit by the load report; NaN if not reported
+         * @param reportedLimit the limit by the load report; NaN if not reported
+         */
+        void onEnd(int outcome, long retryAfterMicros, boolean finished, double remainingShare,
+            double reportedLimit);
+
+        /** Called when all attempts of the call have ended, so that the call is no longer in flight. */
         void onCallEnd();
     }
 
@@ -46,21 +60,23 @@
     final int endpoint;
     final OutboundConnection connection;
     private final Attempt[] attempts;
-    private final EventLoop.Timer[] timers;
-    private final EventLoop.Timer[] leaveTimers;
+    private final EventLoop.Timer[] timeoutTimers;
+    private final EventLoop.Timer[] sendByTimers;
     private final List<String> reportFields;
-    /** What this call's answer told of the endpoint's load; none where no answer came. */
-    private double left = Double.NaN;
-    private double limit = Double.NaN;
-    private int open;
-    private EventLoop.Timer restWithin;
-    private boolean begun;
-    /** What the answer to a call of several says of each message, by id. */
-    private Map<String, String> states = Map.of();
+    /** The load report in the response of this call; NaN if there is none. */
+    private double remainingShare = Double.NaN;
+    private double reportedLimit = Double.NaN;
+    /** The number of attempts that have not ended. */
+    private int openAttempts;
+    /** Limits the time to complete a response that has begun; null if none has. */
+    private EventLoop.Timer completionTimer;
+    private boolean sendRequested;
+    /** The state of each message by its id, from the response to a batch. */
+    private Map<String, String> stateById = Map.of();
 
     Call(EventLoop loop, Limits limits, Delivery delivery, int endpoint, OutboundConnection connection,
         List<Attempt> attempts,
-        long endsAt,
+        long deadlineMicros,
         List<String> reportFields) {
         this.loop = loop;
         this.limits = limits;
@@ -69,29 +85,31 @@
         this.reportFields = reportFields;
         this.connection = connection;
         this.attempts = attempts.toArray(Attempt[]::new);
-        timers = new EventLoop.Timer[this.attempts.length];
-        leaveTimers = new EventLoop.Timer[this.attempts.length];
-        open = this.attempts.length;
-        for (int i = 0; i < timers.length; i++) {
-            Attempt one = this.attempts[i];
-            // An envelope sent alone may come again only once this call is over: several end together, but
-            // none after its expiry.
-            timers[i] = loop.schedule(Math.min(endsAt, one.deadlineMicros()) - loop.nowMicros(),
-                () -> giveUp(one, PolicyActions.TIMEOUT));
-            leaveTimers[i] = loop.schedule(one.sendByMicros() - loop.nowMicros(), this::takeBackIfLate);
+        timeoutTimers = new EventLoop.Timer[this.attempts.length];
+        sendByTimers = new EventLoop.Timer[this.attempts.length];
+        openAttempts = this.attempts.length;
+        for (int i = 0; i < timeoutTimers.length; i++) {
+            Attempt attempt = this.attempts[i];
+            // A single message may be repeated as soon as this call has ended. The attempts of a batch end
+            // together, but none of them after the deadline of its message.
+            timeoutTimers[i] = loop.schedule(
+                Math.min(deadlineMicros, attempt.deadlineMicros()) - loop.nowMicros(),
+                () -> abandon(attempt, PolicyActions.TIMEOUT));
+            sendByTimers[i] = loop.schedule(attempt.sendByMicros() - loop.nowMicros(), this::cancelIfLate);
         }
     }
 
-    public void cancel(Attempt one) {
-        giveUp(one, PolicyActions.CANCELLED);
+    /** Cancels one attempt; does nothing if it has ended. */
+    public void cancel(Attempt attempt) {
+        abandon(attempt, PolicyActions.CANCELLED);
     }
 
-    boolean isOver() {
-        return open == 0;
+    boolean isEnded() {
+        return openAttempts == 0;
     }
 
-    void begin(byte[] request) {
-        begun = true;
+    void send(byte[] request) {
+        sendRequested = true;
         connection.sendRequest(request, this);
     }
 
@@ -99,81 +117,93 @@
         return List.of(attempts);
     }
 
-    /** Ends a call of which the endpoint can't have the whole. */
-    void takeBack() {
+    /** Ends a call whose request the endpoint cannot have received completely. */
+    void cancelUnsent() {
         connection.closeWithoutNotifying();
         endAll(PolicyActions.NOT_EXECUTED, 0, false);
     }
 
     /**
-     * Guards against a connection slow to come up: a repeat that arrives when the first shot is forgotten has its effect
-     * twice. Several go as one, so what is too late for one of them is not sent.
+     * Cancels the call if one of its attempts must not be sent any more. Guards against connections that
+     * are established slowly: a repeat that arrives when the endpoint has forgotten the first attempt
+     * takes effect a second time. A batch is sent as a whole, so it is not sent if it is too late for one
+     * of its messages.
      */
-    private boolean takeBackIfLate() {
+    private boolean cancelIfLate() {
         for (int i = 0; i < attempts.length; i++) {
-            if (timers[i] != null && loop.nowMicros() >= attempts[i].sendByMicros()
+            if (timeoutTimers[i] != null && loop.nowMicros() >= attempts[i].sendByMicros()
                 && !connection.isSendComplete()) {
-                takeBack();
+                cancelUnsent();
                 return true;
             }
         }
         return false;
     }
 
-    /** What went wrong while it was put together or sent: it ends like any other, and its envelopes are not kept for good. */
-    void fault() {
-        boolean left = connection.isSendStarted();
+    /**
+     * Ends the call after an exception while its request was encoded or sent, so that its messages are not
+     * kept forever.
+     */
+    void failInternally() {
+        boolean sendStarted = connection.isSendStarted();
         connection.closeWithoutNotifying();
-        endAll(left ? PolicyActions.CONNECTION_LOST : PolicyActions.NOT_EXECUTED, 0, false);
+        endAll(sendStarted ? PolicyActions.CONNECTION_LOST : PolicyActions.NOT_EXECUTED, 0, false);
     }
 
-    private void giveUp(Attempt one, int outcome) {
-        // The answer may lie in the socket, written in time and not read yet.
+    /**
+     * Ends an attempt without a response. If the response has arrived meanwhile, it counts.
+     *
+     * @param outcome TIMEOUT or CANCELLED
+     */
+    private void abandon(Attempt attempt, int outcome) {
+        // The response may have arrived in time without having been read yet.
         connection.readAvailable();
-        if (isOver(one)) {
+        if (isEnded(attempt)) {
             return;
         }
-        if (saidDelivered()) {
+        if (isDeliveryReported()) {
             connection.close(CloseReason.INCOMPLETE_RESPONSE);
             return;
         }
-        if (!begun
+        if (!sendRequested
             || !connection.isSendComplete()
-                && (outcome == PolicyActions.CANCELLED || loop.nowMicros() >= one.deadlineMicros())) {
-            // Nothing of it has arrived whole: a once-only envelope is not in doubt for a connection slow to open.
-            takeBack();
+                && (outcome == PolicyActions.CANCELLED || loop.nowMicros() >= attempt.deadlineMicros())) {
+            // The request was not received completely, so the outcome is known: a slow connection does not
+            // make the outcome of an at-most-once message uncertain.
+            cancelUnsent();
             return;
         }
-        boolean last = open == 1;
-        if (last) {
-            // Closed before anybody hears: what follows may be the same envelope on another connection.
+        boolean isLast = openAttempts == 1;
+        if (isLast) {
+            // Closed before the listeners are notified, as they may send the same message on another
+            // connection.
             connection.closeWithoutNotifying();
         }
-        end(one, outcome, 0, false);
+        end(attempt, outcome, 0, false);
     }
 
-    private boolean isOver(Attempt one) {
+    private boolean isEnded(Attempt attempt) {
         for (int i = 0; i < attempts.length; i++) {
-            if (attempts[i] == one) {
-                return timers[i] == null;
+            if (attempts[i] == attempt) {
+                return timeoutTimers[i] == null;
             }
         }
         return true;
     }
 
-    private void end(Attempt one, int outcome, long wait, boolean over) {
+    private void end(Attempt attempt, int outcome, long retryAfterMicros, boolean finished) {
         for (int i = 0; i < attempts.length; i++) {
-            if (attempts[i] == one && timers[i] != null) {
-                timers[i].cancel();
-                leaveTimers[i].cancel();
-                timers[i] = null;
-                open--;
-                one.onEnd(outcome, wait, over, left, limit);
-                if (open == 0) {
-                    if (restWithin != null) {
-                        restWithin.cancel();
+            if (attempts[i] == attempt && timeoutTimers[i] != null) {
+                timeoutTimers[i].cancel();
+                sendByTimers[i].cancel();
+                timeoutTimers[i] = null;
+                openAttempts--;
+                attempt.onEnd(outcome, retryAfterMicros, finished, remainingShare, reportedLimit);
+                if (openAttempts == 0) {
+                    if (completionTimer != null) {
+                        completionTimer.cancel();
                     }
-                    delivery.over(this);
+                    delivery.onCallEnd(this);
                     for (Attempt each : attempts) {
                         each.onCallEnd();
                     }
@@ -182,120 +212,127 @@
         }
     }
 
-    private void endAll(int outcome, long wait, boolean over) {
-        for (Attempt one : attempts) {
-            end(one, outcome, wait, over);
+    private void endAll(int outcome, long retryAfterMicros, boolean finished) {
+        for (Attempt attempt : attempts) {
+            end(attempt, outcome, retryAfterMicros, finished);
         }
     }
 
     @Override
     public boolean beforeSend() {
-        if (takeBackIfLate()) {
+        if (cancelIfLate()) {
             return false;
         }
-        for (Attempt one : attempts) {
-            one.beforeSend();
+        for (Attempt attempt : attempts) {
+            attempt.beforeSend();
         }
-        if (!delivery.attemptsAreWritten()) {
-            takeBack();
+        if (!delivery.writeAttemptRecords()) {
+            cancelUnsent();
             return false;
         }
         return true;
     }
 
     /**
-     * Guards against answers that begin and don't end: a head without end, a body shorter than its length. What has
-     * come says all there is, and the call would hold its slot until the envelope's expiry.
+     * Limits the time to complete a response that has begun. Guards against responses that never end, such
+     * as an incomplete head or a body shorter than its length: nothing more is learned from them, and the
+     * call would occupy a slot until the deadline of its messages.
      */
     @Override
-    public void onPartialResponse(HttpParser answer) {
-        if (!answer.isBeforeFirstByte()) {
-            restWithin = restWithin == null
+    public void onPartialResponse(HttpParser response) {
+        if (!response.isBeforeFirstByte()) {
+            completionTimer = completionTimer == null
                 ? loop.schedule(limits.responseCompletionTimeoutMicros(),
                     () -> connection.close(CloseReason.INCOMPLETE_RESPONSE))
-                : restWithin;
-        } else if (restWithin != null) {
-            // What began was a 1xx answer: the one that counts may be long in coming.
-            restWithin.cancel();
-            restWithin = null;
+                : completionTimer;
+        } else if (completionTimer != null) {
+            // An informational (1xx) response has been received; the final response may take long.
+            completionTimer.cancel();
+            completionTimer = null;
         }
     }
 
     /**
-     * An answer other than 200 ends its connection, so a copy that comes later is always one of a 200. That is told by the
-     * ids it names, or by a body that no answer before it on this connection had.
+     * Tells whether a response belongs to this request. Any response other than 200 closes its connection,
+     * so a duplicate that arrives later is always one of a 200. It is recognized by the message ids that
+     * it names, or by a body that equals an earlier one on this connection.
      */
     @Override
-    public ResponseMatch matchResponse(HttpParser answer) {
-        if (answer.status() != HTTP_OK) {
+    public ResponseMatch matchResponse(HttpParser response) {
+        if (response.status() != HTTP_OK) {
             return ResponseMatch.CURRENT_THEN_CLOSE;
         }
         if (!connection.isSendComplete()) {
             return ResponseMatch.UNCERTAIN;
         }
-        byte[] body = answer.body();
-        ResponseMatch recognition = attempts.length == 1 ? recogniseOne(body) : recogniseSeveral(body);
-        boolean mayComeAgain = connection.responseHistory().add(body);
-        return recognition == ResponseMatch.CURRENT && !mayComeAgain ? ResponseMatch.CURRENT_THEN_CLOSE
-            : recognition;
+        byte[] body = response.body();
+        ResponseMatch match = attempts.length == 1 ? matchSingleResponse(body) : matchBatchResponse(body);
+        boolean duplicateRecognizable = connection.responseHistory().add(body);
+        return match == ResponseMatch.CURRENT && !duplicateRecognizable ? ResponseMatch.CURRENT_THEN_CLOSE
+            : match;
     }
 
-    private ResponseMatch recogniseOne(byte[] body) {
+    private ResponseMatch matchSingleResponse(byte[] body) {
         if (body.length == 0) {
             return connection.isFirstRequest() ? ResponseMatch.CURRENT_THEN_CLOSE : ResponseMatch.UNCERTAIN;
         }
         return connection.responseHistory().contains(body) ? ResponseMatch.UNCERTAIN : ResponseMatch.CURRENT;
     }
 
-    private ResponseMatch recogniseSeveral(byte[] body) {
+    private ResponseMatch matchBatchResponse(byte[] body) {
         if (connection.responseHistory().contains(body)) {
             return ResponseMatch.EARLIER_REQUEST;
         }
-        states = Answers.states(body);
-        if (Arrays.stream(attempts).anyMatch(one -> states.containsKey(one.id()))) {
-            // A message that is not over may go again, and a copy of this answer would name it.
-            boolean allAreOver = Arrays.stream(attempts)
-                .allMatch(one -> Answers.isOver(states.getOrDefault(one.id(), "")));
-            return allAreOver ? ResponseMatch.CURRENT : ResponseMatch.CURRENT_THEN_CLOSE;
+        stateById = ResponseInterpreter.messageStates(body);
+        if (Arrays.stream(attempts).anyMatch(attempt -> stateById.containsKey(attempt.id()))) {
+            // A message that is not finished may be sent again, and a duplicate of this response would
+            // name it.
+            boolean allFinished = Arrays.stream(attempts)
+                .allMatch(
+                    attempt -> ResponseInterpreter.isFinished(stateById.getOrDefault(attempt.id(), "")));
+            return allFinished ? ResponseMatch.CURRENT : ResponseMatch.CURRENT_THEN_CLOSE;
         }
         if (connection.isFirstRequest()) {
             return ResponseMatch.CURRENT_THEN_CLOSE;
         }
-        return states.isEmpty() ? ResponseMatch.UNCERTAIN : ResponseMatch.EARLIER_REQUEST;
+        return stateById.isEmpty() ? ResponseMatch.UNCERTAIN : ResponseMatch.EARLIER_REQUEST;
     }
 
     @Override
-    public void onResponse(HttpParser answer) {
-        left = Answers.report(answer, reportFields, "x0");
-        limit = Answers.report(answer, reportFields, "x1");
-        long wait = Answers.wait(answer);
-        if (attempts.length == 1 || answer.status() != HTTP_OK) {
-            endAll(Answers.outcome(answer, connection.isFirstRequest()), wait,
-                Answers.isOver(answer.status()));
+    public void onResponse(HttpParser response) {
+        remainingShare = ResponseInterpreter.loadReportValue(response, reportFields, "x0");
+        reportedLimit = ResponseInterpreter.loadReportValue(response, reportFields, "x1");
+        long retryAfterMicros = ResponseInterpreter.retryAfterMicros(response);
+        if (attempts.length == 1 || response.status() != HTTP_OK) {
+            endAll(ResponseInterpreter.outcome(response, connection.isFirstRequest()), retryAfterMicros,
+                ResponseInterpreter.isFinished(response.status()));
             return;
         }
-        for (Attempt one : attempts) {
-            String state = states.get(one.id());
+        for (Attempt attempt : attempts) {
+            String state = stateById.get(attempt.id());
             if (state != null) {
-                end(one, Answers.outcomeOf(state), wait, Answers.isOver(state));
+                end(attempt, ResponseInterpreter.outcomeOfState(state), retryAfterMicros,
+                    ResponseInterpreter.isFinished(state));
             }
         }
-        // What a bulk answer doesn't name, or names in words unknown, may have run.
-        endAll(PolicyActions.CONNECTION_LOST, wait, false);
+        // Messages that the response does not name, or names with an unknown state, may have been
+        // executed.
+        endAll(PolicyActions.CONNECTION_LOST, retryAfterMicros, false);
     }
 
     /**
-     * The first line of an answer to one message says that it was delivered; the body means nothing. Where the connection
-     * has had an answer before, the body is what tells the two apart.
+     * Whether the status line reports that the message was delivered; the body of the response to a single
+     * message is irrelevant. This holds only for the first response on a connection: later ones can be
+     * told from duplicates only by their body.
      */
-    private boolean saidDelivered() {
+    private boolean isDeliveryReported() {
         return attempts.length == 1 && connection.isFirstRequest() && connection.isSendComplete()
             && connection.receivedStatus() == HTTP_OK;
     }
 
     @Override
-    public void onFailure(boolean sent, HttpParser answer) {
-        if (saidDelivered()) {
+    public void onFailure(boolean sent, HttpParser response) {
+        if (isDeliveryReported()) {
             endAll(PolicyActions.DELIVERED, 0, true);
         } else {
             endAll(
--- a/relay/src/main/java/yewpath/delivery/CallRequest.java
+++ b/relay/src/main/java/yewpath/delivery/CallRequest.java
@@ -8,54 +8,59 @@
 import yewpath.http.HttpMessageBuilder;
 import yewpath.json.Json;
 
-/** The bytes of a call's request, for one message or for several. */
+/** Encodes the HTTP request of a call, for one message or a batch. */
 final class CallRequest {
     private CallRequest() {}
 
-    /** {@code within}: for how long the answer is waited for, in microseconds. */
-    static byte[] bytes(InetSocketAddress address, List<Call.Attempt> attempts, long within) {
-        return attempts.size() == 1 ? single(address, attempts.get(0), within)
-            : bulk(address, attempts, within);
+    /**
+     * Returns the bytes of the request.
+     *
+     * @param timeoutMicros how long the relay waits for the response
+     */
+    static byte[] bytes(InetSocketAddress address, List<Call.Attempt> attempts, long timeoutMicros) {
+        return attempts.size() == 1 ? single(address, attempts.get(0), timeoutMicros)
+            : batch(address, attempts, timeoutMicros);
     }
 
-    private static byte[] single(InetSocketAddress address, Call.Attempt one, long within) {
-        HttpMessageBuilder head = HttpMessageBuilder.request("POST", "/inbox", address)
-            .header("Request-Id", one.id())
-            .header("Request-Timeout", within + "u");
-        if (one.affinityKey() != null) {
-            head.header("Affinity-Key", one.affinityKey());
+    private static byte[] single(InetSocketAddress address, Call.Attempt attempt, long timeoutMicros) {
+        HttpMessageBuilder request = HttpMessageBuilder.request("POST", "/inbox", address)
+            .header("Request-Id", attempt.id())
+            .header("Request-Timeout", timeoutMicros + "u");
+        if (attempt.affinityKey() != null) {
+            request.header("Affinity-Key", attempt.affinityKey());
         }
-        if (one.idempotencyKey() != null) {
-            // Without it an endpoint would take a second shot for another envelope.
-            head.header("Idempotency-Key", one.idempotencyKey());
+        if (attempt.idempotencyKey() != null) {
+            // Without this header an endpoint would treat a second attempt as a different message.
+            request.header("Idempotency-Key", attempt.idempotencyKey());
         }
-        return head.build(one.body());
+        return request.build(attempt.body());
     }
 
     /**
-     * Who lives longest stands first. Guards against a platform that knows a call by its first envelope: told that this
-     * one is at its end, it takes the call for over, and what the answer then says of the others counts for nothing.
+     * Encodes a batch, the message with the latest deadline first. Guards against platforms that identify
+     * a call by its first message: once the outcome of that message is reported, they treat the whole call
+     * as ended and ignore what its response says about the other messages.
      */
-    private static byte[] bulk(InetSocketAddress address, List<Call.Attempt> attempts, long within) {
+    private static byte[] batch(InetSocketAddress address, List<Call.Attempt> attempts, long timeoutMicros) {
         List<Call.Attempt> ordered = new ArrayList<>(attempts);
         ordered.sort(Comparator.comparingLong(Call.Attempt::deadlineMicros).reversed());
         byte[] items = Json.write(out -> {
             out.writeStartArray();
-            for (Call.Attempt one : ordered) {
+            for (Call.Attempt attempt : ordered) {
                 out.writeStartObject();
-                out.writeStringField("id", one.id());
-                if (one.idempotencyKey() != null || one.affinityKey() != null) {
+                out.writeStringField("id", attempt.id());
+                if (attempt.idempotencyKey() != null || attempt.affinityKey() != null) {
                     out.writeStringField("key",
-                        one.idempotencyKey() != null ? one.idempotencyKey() : one.affinityKey());
+                        attempt.idempotencyKey() != null ? attempt.idempotencyKey() : attempt.affinityKey());
                 }
                 out.writeFieldName("body");
-                out.writeBinary(Base64Variants.MIME_NO_LINEFEEDS, one.body(), 0, one.body().length);
+                out.writeBinary(Base64Variants.MIME_NO_LINEFEEDS, attempt.body(), 0, attempt.body().length);
                 out.writeEndObject();
             }
             out.writeEndArray();
         });
         return HttpMessageBuilder.request("POST", "/inbox/bulk", address)
-            .header("Request-Timeout", within + "u")
+            .header("Request-Timeout", timeoutMicros + "u")
             .header("Content-Type", "application/json").build(items);
     }
 }
--- a/relay/src/main/java/yewpath/delivery/Delivery.java
+++ b/relay/src/main/java/yewpath/delivery/Delivery.java
@@ -15,45 +15,55 @@
 import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
 
-/** Calls to endpoints, and the connections kept to them. */
+/**
+ * Calls to endpoints, and the connections to them. All methods must be called on the I/O thread of the
+ * event loop.
+ */
 public final class Delivery {
-    private record Idle(OutboundConnection connection, int endpoint, long since) {}
+    private record IdleConnection(OutboundConnection connection, int endpoint, long sinceMicros) {}
 
     private final EventLoop loop;
     private final Limits limits;
     private final List<String> reportFields;
-    private final BooleanSupplier writeAttempts;
-    private final ArrayDeque<Idle> idle = new ArrayDeque<>();
-    /** Where calls to each endpoint go; null where none may. */
+    private final BooleanSupplier attemptRecordWriter;
+    private final ArrayDeque<IdleConnection> idleConnections = new ArrayDeque<>();
+    /** The address of each endpoint; null if nothing may be sent to it. */
     private InetSocketAddress[] addresses = new InetSocketAddress[32];
-    private int links;
-    private final Set<Call> callsOut = new LinkedHashSet<>();
-    private boolean sweeping;
+    private int openConnections;
+    private final Set<Call> callsInFlight = new LinkedHashSet<>();
+    private boolean sweepScheduled;
 
     /**
-     * Takes load reports from answers where they have these fields; {@code writeAttempts} writes the records of attempts that are
-     * about to leave, and tells whether it could.
+     * Creates a delivery without connections.
+     *
+     * @param reportFields the fields of load reports in responses; empty if there are none
+     * @param attemptRecordWriter writes the ledger records of attempts that are about to be sent, and
+     *     returns whether they are written
      */
-    public Delivery(EventLoop loop, Limits limits, List<String> reportFields, BooleanSupplier writeAttempts) {
-        this.writeAttempts = writeAttempts;
+    public Delivery(EventLoop loop, Limits limits, List<String> reportFields,
+        BooleanSupplier attemptRecordWriter) {
+        this.attemptRecordWriter = attemptRecordWriter;
         this.loop = loop;
         this.limits = limits;
         this.reportFields = reportFields;
     }
 
-    boolean attemptsAreWritten() {
-        return writeAttempts.getAsBoolean();
+    /** Writes the pending ledger records; returns whether they are written. */
+    boolean writeAttemptRecords() {
+        return attemptRecordWriter.getAsBoolean();
     }
 
+    /** Returns the number of calls that have not ended. */
     public int callsInFlight() {
-        return callsOut.size();
+        return callsInFlight.size();
     }
 
+    /** Returns the number of connections to endpoints, including those being opened. */
     public int connectionCount() {
-        return links;
+        return openConnections;
     }
 
-    /** Sets the address of an endpoint; at a new one, connections to the old are closed. */
+    /** Sets the address of an endpoint. If it has changed, connections to the old one are closed. */
     public void setAddress(int endpoint, InetSocketAddress address) {
         if (endpoint >= addresses.length) {
             addresses = Arrays.copyOf(addresses, endpoint * 2);
@@ -65,9 +75,10 @@
     }
 
     /**
-     * Nothing new may go to an endpoint that drains, is gone, or stands elsewhere now. Guards against calls whose connection
-     * is still to come up, which would leave long after that was told, and against connections that lie idle, or will once
-     * their call is over, and would be used for what the list has under this index later.
+     * Stops sending to an endpoint that drains, is gone or has moved to another address. Guards against
+     * calls whose connection is not established yet, which would be sent long after the change was
+     * reported. Also guards against idle connections, and those whose call is still in flight, being used
+     * later for another endpoint under the same index.
      */
     public void stopSending(int endpoint) {
         addresses[endpoint] = null;
@@ -75,113 +86,137 @@
         closeIdle(endpoint);
     }
 
-    /** Sends envelopes as one call that ends {@code endsAt} at the latest. */
-    public Call startCall(int endpoint, List<Call.Attempt> attempts, long endsAt) {
-        Call call = out(endpoint, connection(endpoint), attempts, endsAt);
-        startPreparedCall(call, endsAt);
+    /**
+     * Sends messages as one call.
+     *
+     * @param deadlineMicros when the call ends at the latest
+     */
+    public Call startCall(int endpoint, List<Call.Attempt> attempts, long deadlineMicros) {
+        Call call = register(endpoint, takeConnection(endpoint), attempts, deadlineMicros);
+        startPreparedCall(call, deadlineMicros);
         return call;
     }
 
-    /** One that {@link #begin} is to send later; until then it can be taken back like one that has not left. */
-    public Call prepareCall(int endpoint, List<Call.Attempt> attempts, long endsAt) {
-        return out(endpoint, opened(endpoint), attempts, endsAt);
+    /**
+     * Creates a call that {@link #startPreparedCall} sends later; until then it can be cancelled like any
+     * call that is not sent yet.
+     */
+    public Call prepareCall(int endpoint, List<Call.Attempt> attempts, long deadlineMicros) {
+        return register(endpoint, openConnection(endpoint), attempts, deadlineMicros);
     }
 
-    private Call out(int endpoint, OutboundConnection connection, List<Call.Attempt> attempts, long endsAt) {
-        Call call = new Call(loop, limits, this, endpoint, connection, attempts, endsAt, reportFields);
-        callsOut.add(call);
+    private Call register(int endpoint, OutboundConnection connection, List<Call.Attempt> attempts,
+        long deadlineMicros) {
+        Call call = new Call(loop, limits, this, endpoint, connection, attempts, deadlineMicros,
+            reportFields);
+        callsInFlight.add(call);
         return call;
     }
 
-    /** Does nothing where it has ended meanwhile. */
-    public void startPreparedCall(Call call, long endsAt) {
-        if (call.isOver()) {
+    /** Sends a prepared call; does nothing if it has ended meanwhile. */
+    public void startPreparedCall(Call call, long deadlineMicros) {
+        if (call.isEnded()) {
             return;
         }
-        long within = Math.max(1, endsAt - loop.nowMicros());
+        long timeoutMicros = Math.max(1, deadlineMicros - loop.nowMicros());
         List<Call.Attempt> attempts = call.attempts();
         try {
-            call.begin(CallRequest.bytes(addresses[call.endpoint], attempts, within));
-        } catch (RuntimeException e) {
-            Log.log(Event.RELAY_ERROR, e);
-            call.fault();
+            call.send(CallRequest.bytes(addresses[call.endpoint], attempts, timeoutMicros));
+        } catch (RuntimeException exception) {
+            Log.log(Event.RELAY_ERROR, exception);
+            call.failInternally();
         }
     }
 
-    /** Calls whose connection is still to come up don't leave. */
+    /** Cancels the calls to an endpoint whose requests are not sent yet. */
     public void cancelUnsentCalls(int endpoint) {
-        for (Call call : new ArrayList<>(callsOut)) {
+        for (Call call : new ArrayList<>(callsInFlight)) {
             if (call.endpoint == endpoint && !call.connection.isSendStarted()) {
-                call.takeBack();
+                call.cancelUnsent();
             }
         }
     }
 
-    private OutboundConnection connection(int endpoint) {
-        List<OutboundConnection> spoilt = new ArrayList<>();
-        // The one used last: the others grow old and close.
-        for (var newest = idle.descendingIterator(); newest.hasNext();) {
-            Idle one = newest.next();
-            if (one.endpoint == endpoint
-                && loop.nowMicros() - one.since < limits.endpointIdleTimeoutMicros()) {
-                newest.remove();
-                if (one.connection.hasNoPendingInput()) {
-                    return one.connection;
+    /**
+     * Returns an idle connection to an endpoint, or a new one; a new one beyond the limit replaces the
+     * connection that has been idle longest.
+     */
+    private OutboundConnection takeConnection(int endpoint) {
+        List<OutboundConnection> staleConnections = new ArrayList<>();
+        // The connection used last is used first, so that superfluous connections become idle and are
+        // closed.
+        for (var newestFirst = idleConnections.descendingIterator(); newestFirst.hasNext();) {
+            IdleConnection candidate = newestFirst.next();
+            if (candidate.endpoint == endpoint
+                && loop.nowMicros() - candidate.sinceMicros < limits.endpointIdleTimeoutMicros()) {
+                newestFirst.remove();
+                if (candidate.connection.hasNoPendingInput()) {
+                    return candidate.connection;
                 }
-                spoilt.add(one.connection);
+                staleConnections.add(candidate.connection);
             }
         }
-        spoilt.forEach(connection -> connection.close(CloseReason.STALE_BEFORE_REUSE));
-        if (links >= limits.maxEndpointConnections() && !idle.isEmpty()) {
-            idle.peekFirst().connection.close(CloseReason.EVICTED);
+        staleConnections.forEach(connection -> connection.close(CloseReason.STALE_BEFORE_REUSE));
+        if (openConnections >= limits.maxEndpointConnections() && !idleConnections.isEmpty()) {
+            idleConnections.peekFirst().connection.close(CloseReason.EVICTED);
         }
-        return opened(endpoint);
+        return openConnection(endpoint);
     }
 
-    private OutboundConnection opened(int endpoint) {
+    private OutboundConnection openConnection(int endpoint) {
         OutboundConnection connection = new OutboundConnection(loop, limits, addresses[endpoint],
             limits.maxBodyBytes());
-        links++;
+        openConnections++;
         connection.onClose(() -> {
-            links--;
-            idle.removeIf(one -> one.connection == connection);
+            openConnections--;
+            idleConnections.removeIf(candidate -> candidate.connection == connection);
         });
         return connection;
     }
 
-    void over(Call call) {
-        callsOut.remove(call);
+    /**
+     * Keeps the connection of an ended call for later calls, unless it is closed or the endpoint's address
+     * has changed.
+     */
+    void onCallEnd(Call call) {
+        callsInFlight.remove(call);
         if (addresses[call.endpoint] == null || !addresses[call.endpoint].equals(call.connection.address())) {
             call.connection.close(CloseReason.ADDRESS_NOT_IN_USE);
         } else if (!call.connection.isClosed()) {
-            idle.addLast(new Idle(call.connection, call.endpoint, loop.nowMicros()));
-            sweepLater();
+            idleConnections.addLast(new IdleConnection(call.connection, call.endpoint, loop.nowMicros()));
+            scheduleSweep();
         }
     }
 
-    private void sweepLater() {
-        if (!sweeping && !idle.isEmpty()) {
-            sweeping = true;
-            loop.schedule(idle.peekFirst().since + limits.endpointIdleTimeoutMicros() - loop.nowMicros(),
-                this::sweep);
+    private void scheduleSweep() {
+        if (!sweepScheduled && !idleConnections.isEmpty()) {
+            sweepScheduled = true;
+            loop.schedule(
+                idleConnections.peekFirst().sinceMicros + limits.endpointIdleTimeoutMicros()
+                    - loop.nowMicros(),
+                this::closeExpired);
         }
     }
 
-    /** Closes what the endpoint would soon close by itself, perhaps under a request. */
-    private void sweep() {
-        sweeping = false;
-        while (!idle.isEmpty()
-            && idle.peekFirst().since + limits.endpointIdleTimeoutMicros() <= loop.nowMicros()) {
-            idle.peekFirst().connection.close(CloseReason.IDLE);
+    /**
+     * Closes connections that the endpoint would soon close itself, possibly while a request is being
+     * sent.
+     */
+    private void closeExpired() {
+        sweepScheduled = false;
+        while (!idleConnections.isEmpty()
+            && idleConnections.peekFirst().sinceMicros + limits.endpointIdleTimeoutMicros() <= loop
+                .nowMicros()) {
+            idleConnections.peekFirst().connection.close(CloseReason.IDLE);
         }
-        sweepLater();
+        scheduleSweep();
     }
 
     /** Closes the idle connections to an endpoint. */
     public void closeIdle(int endpoint) {
-        for (Idle one : new ArrayList<>(idle)) {
-            if (one.endpoint == endpoint) {
-                one.connection.close(CloseReason.IDLE);
+        for (IdleConnection candidate : new ArrayList<>(idleConnections)) {
+            if (candidate.endpoint == endpoint) {
+                candidate.connection.close(CloseReason.IDLE);
             }
         }
     }
--- a/relay/src/main/java/yewpath/delivery/ResponseInterpreter.java
+++ b/relay/src/main/java/yewpath/delivery/ResponseInterpreter.java
@@ -7,23 +7,29 @@
 import yewpath.http.HttpParser;
 import yewpath.json.Json;
 
-/** What an endpoint's answer says, in Logic's outcomes. */
-final class Answers {
-    private Answers() {}
+/** Derives the outcomes of {@link PolicyActions} from the responses of endpoints. */
+final class ResponseInterpreter {
+    private ResponseInterpreter() {}
 
-    /** {@code first} tells that nothing had been asked on this connection before. */
-    static int outcome(HttpParser answer, boolean first) {
-        if (first && answer.status() == 503 && !answer.isKeepAlive()
-            && answer.header("Retry-After") == null) {
-            // Too many connections: closed at once without a word of a limit or a wait. It speaks of the table, not of the
-            // limit; read as full, it took the pace away from relays that had hardly a connection.
+    /**
+     * Returns the outcome that the status and the headers of a response mean for all messages of its call.
+     *
+     * @param isFirstRequest whether the request was the first one on its connection
+     */
+    static int outcome(HttpParser response, boolean isFirstRequest) {
+        if (isFirstRequest && response.status() == 503 && !response.isKeepAlive()
+            && response.header("Retry-After") == null) {
+            // The endpoint has too many connections: it closes a new one at once and reports neither a
+            // limit nor a time to wait. The response refers to its connections, not to its call limit.
+            // When it was treated as an overload, relays with few connections reduced their send rate.
             return PolicyActions.UNREACHABLE;
         }
-        if (answer.status() == 503 && "1".equals(answer.header("X-Over-Slots"))) {
-            // Says nothing of the endpoint: this relay had a call too many out, as one given up can still count.
+        if (response.status() == 503 && "1".equals(response.header("X-Over-Slots"))) {
+            // The response does not refer to the endpoint: this relay had too many calls in flight, since
+            // an abandoned call may still be counted.
             return PolicyActions.NOT_EXECUTED;
         }
-        return switch (answer.status()) {
+        return switch (response.status()) {
             case 200 -> PolicyActions.DELIVERED;
             case 429, 503 -> PolicyActions.OVERLOADED;
             case 410, 504 -> PolicyActions.NOT_EXECUTED;
@@ -31,12 +37,16 @@
         };
     }
 
-    /** After these nothing more is owed. */
-    static boolean isOver(int status) {
+    /** Whether a response with this status ends the message, so that it is not attempted again. */
+    static boolean isFinished(int status) {
         return status == 200 || status == 410;
     }
 
-    static int outcomeOf(String state) {
+    /**
+     * Returns the outcome for the state of one message in the response to a batch. A message with an
+     * unknown state may have been executed.
+     */
+    static int outcomeOfState(String state) {
         return switch (state) {
             case "done" -> PolicyActions.DELIVERED;
             case "failed" -> PolicyActions.ERROR;
@@ -46,60 +56,72 @@
         };
     }
 
-    static boolean isOver(String state) {
+    /** Whether this state ends the message, so that it is not attempted again. */
+    static boolean isFinished(String state) {
         return state.equals("done") || state.equals("void");
     }
 
-    /** Microseconds, rounded up so as never to be early; 0 where none is told. */
-    static long wait(HttpParser answer) {
-        String told = answer.header("Retry-After");
-        if (told == null || !told.matches("[0-9]{1,9}(\\.[0-9]{1,12})?")) {
+    /**
+     * Returns the time of the Retry-After header in microseconds, rounded up so that the relay never
+     * retries too early; 0 if the header is missing or malformed.
+     */
+    static long retryAfterMicros(HttpParser response) {
+        String headerValue = response.header("Retry-After");
+        if (headerValue == null || !headerValue.matches("[0-9]{1,9}(\\.[0-9]{1,12})?")) {
             return 0;
         }
-        return (long) Math.ceil(Double.parseDouble(told) * 1_000_000);
+        return (long) Math.ceil(Double.parseDouble(headerValue) * 1_000_000);
     }
 
-    /** One value of the load report that an answer carries; not a number where it has none. */
-    static double report(HttpParser answer, List<String> fields, String field) {
-        String told = answer.header("Server-Load");
-        if (told == null || !told.startsWith("TEXT ") || !fields.contains(field)) {
+    /**
+     * Returns one value of the load report in the Server-Load header.
+     *
+     * @param reportFields the fields that the configuration names
+     * @return the value; NaN if the field is not configured, missing or not a finite number
+     */
+    static double loadReportValue(HttpParser response, List<String> reportFields, String fieldName) {
+        String headerValue = response.header("Server-Load");
+        if (headerValue == null || !headerValue.startsWith("TEXT ") || !reportFields.contains(fieldName)) {
             return Double.NaN;
         }
-        for (String pair : told.substring(5).split(",")) {
-            String[] parts = pair.strip().split("=", 2);
-            if (parts.length == 2 && parts[0].equals(field)
-                && parts[1].matches("-?[0-9]*\\.?[0-9]+([eE][+-]?[0-9]+)?")) {
-                double figure = Double.parseDouble(parts[1]);
-                return Double.isFinite(figure) ? figure : Double.NaN;
+        for (String reportEntry : headerValue.substring(5).split(",")) {
+            String[] nameAndValue = reportEntry.strip().split("=", 2);
+            if (nameAndValue.length == 2 && nameAndValue[0].equals(fieldName)
+                && nameAndValue[1].matches("-?[0-9]*\\.?[0-9]+([eE][+-]?[0-9]+)?")) {
+                double number = Double.parseDouble(nameAndValue[1]);
+                return Double.isFinite(number) ? number : Double.NaN;
             }
         }
         return Double.NaN;
     }
 
-    /** Returns what a bulk answer tells of each message, by id; one that cannot be read to its end tells nothing. */
-    static Map<String, String> states(byte[] body) {
-        Map<String, String> ends = new LinkedHashMap<>();
+    /**
+     * Returns the state of each message by its id, from the response to a batch. The result is empty if
+     * any part of the body is malformed.
+     */
+    static Map<String, String> messageStates(byte[] body) {
+        Map<String, String> stateById = new LinkedHashMap<>();
         try {
-            Json.parse(body, at -> {
-                Json.readArray(at, item -> {
-                    String[] fields = new String[2];
-                    Json.readObject(item, (name, value) -> {
+            Json.parse(body, parser -> {
+                Json.readArray(parser, itemParser -> {
+                    String[] idAndState = new String[2];
+                    Json.readObject(itemParser, (name, value) -> {
                         if (name.equals("id") || name.equals("state")) {
-                            fields[name.equals("id") ? 0 : 1] = Json.readString(value);
+                            idAndState[name.equals("id") ? 0 : 1] = Json.readString(value);
                         } else {
                             value.skipChildren();
                         }
                     });
-                    if (fields[0] == null || fields[1] == null) {
-                        throw Json.error(item, "an end without id or state");
+                    if (idAndState[0] == null || idAndState[1] == null) {
+                        throw Json.error(itemParser, "an item without the fields id and state");
                     }
-                    return ends.put(fields[0], fields[1]);
+                    return stateById.put(idAndState[0], idAndState[1]);
                 });
-                return ends;
+                return stateById;
             });
-        } catch (IllegalArgumentException garbled) {
+        } catch (IllegalArgumentException invalid) {
             return Map.of();
         }
-        return ends;
+        return stateById;
     }
 }
--- a/relay/src/main/java/yewpath/delivery/package-info.java
+++ b/relay/src/main/java/yewpath/delivery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Calls to endpoints: composing requests, the connections kept to each endpoint, and reading their answers
- * as outcomes.
+ * Calls to endpoints: encodes requests, keeps the connections to each endpoint, and derives outcomes from
+ * the responses.
  */
 package yewpath.delivery;
