--- a/relay/src/main/java/yewpath/boot/InvalidInputException.java
+++ b/relay/src/main/java/yewpath/boot/InvalidInputException.java
@@ -1,6 +1,9 @@
 package yewpath.boot;
 
-/** Input that breaks the wire's page; the message goes to the operator as it is. */
+/**
+ * Thrown if a setting or a message of the simulator protocol is malformed or invalid. The message is shown
+ * to the operator unchanged.
+ */
 public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/relay/src/main/java/yewpath/boot/package-info.java
+++ b/relay/src/main/java/yewpath/boot/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Translates the platform's settings, named as on the wire, into those of the decision module, and maps
- * names to dense indices.
- */
+/** Reads the platform's settings into those of the delivery policy, and maps names to small indices. */
 package yewpath.boot;
--- a/relay/src/main/java/yewpath/relay/LedgerWriter.java
+++ b/relay/src/main/java/yewpath/relay/LedgerWriter.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
+import yewpath.ledger.LedgerEntry;
 import yewpath.loop.EventLoop;
 
 /**
--- a/relay/src/main/java/yewpath/relay/Relay.java
+++ b/relay/src/main/java/yewpath/relay/Relay.java
@@ -19,8 +19,8 @@
 import yewpath.intake.ClientListener;
 import yewpath.intake.MessageIntake;
 import yewpath.json.Json;
-import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
+import yewpath.ledger.LedgerEntry;
 import yewpath.loop.EventLoop;
 import yewpath.loop.Limits;
 import yewpath.outcome.NoticeSender;
@@ -135,8 +135,8 @@
     /**
      * Adds a message class for restored messages whose class is no longer configured. Guards against such
      * messages failing without an attempt. The properties of their class are unknown, so the most careful
-     * ones apply: a message is attempted at most once, in the order of its key, and after the messages of
-     * all other classes.
+     * ones apply: at-most-once delivery, in the order of the key, and after the messages of all other
+     * classes.
      */
     private static void addUnknownMessageClass(PolicySettings settings) {
         int last = settings.messageClasses.length;
--- a/relay/src/main/java/yewpath/wirehost/WireHost.java
+++ b/relay/src/main/java/yewpath/wirehost/WireHost.java
@@ -13,70 +13,82 @@
 import java.util.Map;
 import java.util.TreeMap;
 import yewpath.DeliveryPolicy;
+import yewpath.PolicyActions;
 import yewpath.boot.PlatformSettings;
 import yewpath.boot.InvalidInputException;
 
-/** The simulator's text wire: plays rounds of events into each instance's Logic, writes what it asks. */
+/**
+ * Serves the text protocol of the simulator: reports the events of each round to the delivery policies of
+ * the simulated relays, and writes the actions that they ask for.
+ */
 public final class WireHost {
-    private static final int PAGES = 16;
+    private static final int MAX_PAGES = 16;
 
     private final BufferedReader in;
     private final OutputStream out;
-    private final Map<Integer, Instance> instances = new HashMap<>();
-    private final TreeMap<Integer, Instance> touched = new TreeMap<>();
-    private final String[][][] pages = new String[PAGES][][];
+    private final Map<Integer, RelayInstance> instances = new HashMap<>();
+    private final TreeMap<Integer, RelayInstance> instancesInRound = new TreeMap<>();
+    private final String[][][] pages = new String[MAX_PAGES][][];
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
-    private long now;
-    private int who;
-    private boolean named;
+    private long nowMicros;
+    private int instanceNumber;
+    private boolean instanceSelected;
 
     private WireHost(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
     }
 
-    /** Returns the process's exit code: 0 at the end of input, 1 where a line could not be read. */
+    /**
+     * Serves the protocol until the input ends.
+     *
+     * @return the exit code of the process: 0 at the end of the input, 1 if a line is invalid
+     */
     public static int serve(InputStream in, OutputStream out, PrintStream err) throws IOException {
         WireHost host = new WireHost(in, out);
         try {
             host.run();
             return 0;
-        } catch (InvalidInputException e) {
-            err.println("yewpath wirehost: line " + host.lineNumber + ": " + e.getMessage());
+        } catch (InvalidInputException exception) {
+            err.println("yewpath wirehost: line " + host.lineNumber + ": " + exception.getMessage());
             return 1;
         }
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         String line = in.readLine();
         lineNumber++;
         return line;
     }
 
     private void run() throws IOException {
-        for (String line = line(); line != null; line = line()) {
+        for (String line = readLine(); line != null; line = readLine()) {
             if (line.isEmpty()) {
                 continue;
             }
-            String[] head = split(line);
-            if (!head[0].equals("TICK")) {
-                throw new InvalidInputException("expected TICK, found " + head[0]);
+            String[] tick = split(line);
+            if (!tick[0].equals("TICK")) {
+                throw new InvalidInputException("expected TICK, found " + tick[0]);
             }
-            need(head, 3);
-            now = micros(head[1]);
-            long round = whole(head[2]);
-            named = false;
-            round(round);
+            requireFieldCount(tick, 3);
+            nowMicros = parseMicros(tick[1]);
+            long roundNumber = parseLong(tick[2]);
+            instanceSelected = false;
+            playRound(roundNumber);
         }
     }
 
-    private void round(long round) throws IOException {
+    /**
+     * Plays the events of one round, completes the round of each instance that had any, and writes the
+     * reply. The first exception of a policy is reported to the simulator; the round goes on.
+     */
+    private void playRound(long roundNumber) throws IOException {
         reply.setLength(0);
-        touched.clear();
-        String fatal = null;
+        instancesInRound.clear();
+        String firstFailure = null;
         while (true) {
-            String line = line();
+            String line = readLine();
             if (line == null) {
                 throw new InvalidInputException("input ended inside a round");
             }
@@ -85,103 +97,108 @@
             }
             String[] fields = split(line);
             try {
-                event(fields);
-            } catch (InvalidInputException e) {
-                throw e;
-            } catch (RuntimeException e) {
-                fatal = fatal == null ? told(e) : fatal;
+                playEvent(fields);
+            } catch (InvalidInputException exception) {
+                throw exception;
+            } catch (RuntimeException exception) {
+                firstFailure = firstFailure == null ? describe(exception) : firstFailure;
             }
         }
-        for (Map.Entry<Integer, Instance> entry : touched.entrySet()) {
+        for (Map.Entry<Integer, RelayInstance> entry : instancesInRound.entrySet()) {
             try {
-                entry.getValue().logic.completeRound(true);
-            } catch (RuntimeException e) {
-                fatal = fatal == null ? told(e) : fatal;
+                entry.getValue().policy.completeRound(true);
+            } catch (RuntimeException exception) {
+                firstFailure = firstFailure == null ? describe(exception) : firstFailure;
             }
-            entry.getValue().drain(entry.getKey(), reply);
+            entry.getValue().writeActions(entry.getKey(), reply);
         }
-        if (fatal != null) {
-            reply.append("FATAL\t").append(fatal).append('\n');
+        if (firstFailure != null) {
+            reply.append("FATAL\t").append(firstFailure).append('\n');
         }
-        reply.append("END\t").append(round).append('\n');
+        reply.append("END\t").append(roundNumber).append('\n');
         out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
         out.flush();
     }
 
-    private static String told(RuntimeException e) {
-        StackTraceElement[] at = e.getStackTrace();
-        return (e + (at.length > 0 ? " at " + at[0] : "")).replaceAll("[\\t\\r\\n]+", " ");
+    /** Describes an exception on one line, with the place where it was thrown. */
+    private static String describe(RuntimeException exception) {
+        StackTraceElement[] stackTrace = exception.getStackTrace();
+        return (exception + (stackTrace.length > 0 ? " at " + stackTrace[0] : "")).replaceAll("[\\t\\r\\n]+",
+            " ");
     }
 
-    private void event(String[] f) throws IOException {
-        switch (f[0]) {
+    private void playEvent(String[] fields) throws IOException {
+        switch (fields[0]) {
             case "SWITCH_TO" -> {
-                need(f, 2);
-                who = integer(f[1]);
-                named = true;
+                requireFieldCount(fields, 2);
+                instanceNumber = parseInt(fields[1]);
+                instanceSelected = true;
             }
-            case "PAGE" -> page(f);
-            case "UP" -> up(f);
+            case "PAGE" -> readPage(fields);
+            case "UP" -> startInstance(fields);
             case "CRASH_NOW" -> {
                 instance();
-                instances.remove(who);
-                touched.remove(who);
+                instances.remove(instanceNumber);
+                instancesInRound.remove(instanceNumber);
             }
-            case "PEERS_KNOWN" -> list(f);
-            case "INGRESS" -> ingress(f);
+            case "PEERS_KNOWN" -> updateEndpointList(fields);
+            case "INGRESS" -> submitMessage(fields);
             case "FLOWING" -> {
-                need(f, 5);
+                requireFieldCount(fields, 5);
                 instance();
             }
-            case "SETTLED" -> settled(f);
-            case "HANGUP" -> hangup(f);
+            case "SETTLED" -> endAttempt(fields);
+            case "HANGUP" -> withdrawMessage(fields);
             case "DUE" -> {
-                need(f, 2);
-                instance().logic.alarmFired();
+                requireFieldCount(fields, 2);
+                instance().policy.alarmFired();
             }
-            case "PONG" -> pong(f);
-            case "DATAGRAM" -> datagram(f);
-            default -> throw new InvalidInputException("unknown message " + f[0]);
+            case "PONG" -> checkProbeResult(fields);
+            case "DATAGRAM" -> checkPeerMessage(fields);
+            default -> throw new InvalidInputException("unknown event " + fields[0]);
         }
     }
 
-    private Instance instance() {
-        Instance instance = named ? instances.get(who) : null;
+    /** Returns the selected instance, whose round is then completed at the end. */
+    private RelayInstance instance() {
+        RelayInstance instance = instanceSelected ? instances.get(instanceNumber) : null;
         if (instance == null) {
             throw new InvalidInputException(
-                named ? "instance " + who + " is not up" : "no instance named yet");
+                instanceSelected ? "instance " + instanceNumber + " is not up"
+                    : "no instance is selected; SWITCH_TO is missing");
         }
-        if (touched.put(who, instance) == null) {
-            instance.at(now);
+        if (instancesInRound.put(instanceNumber, instance) == null) {
+            instance.setTime(nowMicros);
         }
         return instance;
     }
 
-    private void up(String[] f) {
-        if (f.length < 2 || !named) {
-            throw new InvalidInputException("UP needs an instance and a seed");
+    private void startInstance(String[] fields) {
+        if (fields.length < 2 || !instanceSelected) {
+            throw new InvalidInputException("UP requires a selected instance and a seed");
         }
         long seed;
         try {
-            seed = f[1].startsWith("-") ? Long.parseLong(f[1]) : Long.parseUnsignedLong(f[1]);
-        } catch (NumberFormatException e) {
-            throw new InvalidInputException("not a whole number: " + f[1]);
+            seed = fields[1].startsWith("-") ? Long.parseLong(fields[1]) : Long.parseUnsignedLong(fields[1]);
+        } catch (NumberFormatException exception) {
+            throw new InvalidInputException("not an integer: " + fields[1]);
         }
-        Instance instance = new Instance(PlatformSettings.ofFields(f, 2), seed, now);
-        instances.put(who, instance);
-        touched.put(who, instance);
+        RelayInstance instance = new RelayInstance(PlatformSettings.ofFields(fields, 2), seed, nowMicros);
+        instances.put(instanceNumber, instance);
+        instancesInRound.put(instanceNumber, instance);
     }
 
-    private void page(String[] f) throws IOException {
-        need(f, 3);
-        int number = integer(f[1]);
-        int count = integer(f[2]);
-        if (number < 0 || number >= PAGES || count < 0) {
-            throw new InvalidInputException("no such page: " + number);
+    /** Reads a page, an endpoint list that later messages refer to by its number. */
+    private void readPage(String[] fields) throws IOException {
+        requireFieldCount(fields, 3);
+        int pageNumber = parseInt(fields[1]);
+        int count = parseInt(fields[2]);
+        if (pageNumber < 0 || pageNumber >= MAX_PAGES || count < 0) {
+            throw new InvalidInputException("no such page: " + pageNumber);
         }
         List<String[]> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String line = line();
+            String line = readLine();
             if (line == null) {
                 throw new InvalidInputException("input ended inside a page");
             }
@@ -189,164 +206,173 @@
             if (!entry[0].equals("ENDPOINT")) {
                 throw new InvalidInputException("expected ENDPOINT, found " + entry[0]);
             }
-            need(entry, 8);
-            decimal(entry[6]);
-            micros(entry[7]);
+            requireFieldCount(entry, 8);
+            parseDouble(entry[6]);
+            parseMicros(entry[7]);
             if (entry[5].length() != 1 || "ULD".indexOf(entry[5].charAt(0)) < 0) {
                 throw new InvalidInputException("unknown phase " + entry[5]);
             }
             entries.add(entry);
         }
-        pages[number] = entries.toArray(new String[0][]);
+        pages[pageNumber] = entries.toArray(new String[0][]);
     }
 
-    private void list(String[] f) {
-        need(f, 4);
-        Instance instance = instance();
-        DeliveryPolicy logic = instance.logic;
-        if (f[1].equals("failed")) {
-            logic.endpointListFailed();
+    private void updateEndpointList(String[] fields) {
+        requireFieldCount(fields, 4);
+        RelayInstance instance = instance();
+        DeliveryPolicy policy = instance.policy;
+        if (fields[1].equals("failed")) {
+            policy.endpointListFailed();
             return;
         }
-        boolean whole = f[1].equals("full") || f[1].equals("cached");
-        if (!whole && !f[1].equals("delta")) {
-            throw new InvalidInputException("unknown kind of list " + f[1]);
+        boolean complete = fields[1].equals("full") || fields[1].equals("cached");
+        if (!complete && !fields[1].equals("delta")) {
+            throw new InvalidInputException("unknown kind of list " + fields[1]);
         }
-        int number = integer(f[3]);
-        if (number < 0 || number >= PAGES || pages[number] == null) {
-            throw new InvalidInputException("no page " + f[3]);
+        int pageNumber = parseInt(fields[3]);
+        if (pageNumber < 0 || pageNumber >= MAX_PAGES || pages[pageNumber] == null) {
+            throw new InvalidInputException("no page " + fields[3]);
         }
-        logic.endpointListStarted(whole, f[1].equals("cached"));
-        for (String[] e : pages[number]) {
-            logic.endpointListed(instance.endpoints.getOrAdd(e[1]), instance.zone(e[2]), instance.kind(e[3]),
-                instance.destinations.getOrAdd(e[4]), "ULD".indexOf(e[5].charAt(0)), decimal(e[6]),
-                micros(e[7]));
+        policy.endpointListStarted(complete, fields[1].equals("cached"));
+        for (String[] endpointFields : pages[pageNumber]) {
+            policy.endpointListed(instance.endpoints.getOrAdd(endpointFields[1]),
+                instance.zone(endpointFields[2]), instance.kind(endpointFields[3]),
+                instance.destinations.getOrAdd(endpointFields[4]), "ULD".indexOf(endpointFields[5].charAt(0)),
+                parseDouble(endpointFields[6]),
+                parseMicros(endpointFields[7]));
         }
-        logic.endpointListEnded();
+        policy.endpointListEnded();
     }
 
-    private void ingress(String[] f) {
-        need(f, 9);
-        Instance instance = instance();
-        int offering = instance.messageClasses.find(f[2]);
-        if (offering < 0) {
-            throw new InvalidInputException("unknown offering " + f[2]);
+    private void submitMessage(String[] fields) {
+        requireFieldCount(fields, 9);
+        RelayInstance instance = instance();
+        int messageClass = instance.messageClasses.find(fields[2]);
+        if (messageClass < 0) {
+            throw new InvalidInputException("unknown message class " + fields[2]);
         }
-        long expiry = micros(f[5]);
-        if (!f[8].equals("-")) {
-            integer(f[8]);
+        long deadlineMicros = parseMicros(fields[5]);
+        if (!fields[8].equals("-")) {
+            parseInt(fields[8]);
         }
-        int destination = instance.destinations.getOrAdd(f[7]);
-        int envelope = instance.take(f[1], f[4].equals("-") ? null : f[4]);
-        instance.logic.messageAccepted(envelope, offering, instance.tenants.find(f[3]),
-            instance.keyOf(envelope),
-            destination, expiry, 0, -1, 0);
+        int destination = instance.destinations.getOrAdd(fields[7]);
+        int message = instance.addMessage(fields[1], fields[4].equals("-") ? null : fields[4]);
+        instance.policy.messageAccepted(message, messageClass, instance.tenants.find(fields[3]),
+            instance.keyIndex(message),
+            destination, deadlineMicros, 0, -1, 0);
     }
 
-    private void settled(String[] f) {
-        need(f, 9);
-        Instance instance = instance();
-        int envelope = instance.envelopes.find(f[1]);
-        int endpoint = instance.endpoints.find(f[4]);
-        if (envelope < 0 || endpoint < 0) {
-            throw new InvalidInputException("an outcome for what was never sent: " + f[1] + " " + f[4]);
+    private void endAttempt(String[] fields) {
+        requireFieldCount(fields, 9);
+        RelayInstance instance = instance();
+        int message = instance.messages.find(fields[1]);
+        int endpoint = instance.endpoints.find(fields[4]);
+        if (message < 0 || endpoint < 0) {
+            throw new InvalidInputException(
+                "outcome of a message or endpoint that was never sent to: " + fields[1] + " " + fields[4]);
         }
-        boolean over = f[2].equals("1");
-        int outcome = integer(f[7]);
-        if (outcome < 0 || outcome > 7) {
-            throw new InvalidInputException("unknown outcome " + f[7]);
+        boolean finished = fields[2].equals("1");
+        int outcome = parseInt(fields[7]);
+        if (outcome < 0 || outcome > PolicyActions.NOT_EXECUTED) {
+            throw new InvalidInputException("unknown outcome " + fields[7]);
         }
-        double detail = decimal(f[5]);
-        String[] report = report(f[8]);
-        instance.logic.attemptEnded(envelope, over, integer(f[3]), endpoint, outcome,
-            outcome == 2 ? Math.round(detail * 1000) : 0, micros(f[6]),
-            column(report, instance.remainingShareColumn), column(report, instance.reportedLimitColumn));
-        if (over && !instance.isOver(envelope)) {
-            instance.ended(envelope);
+        // The detail of an overload is the time to wait in milliseconds.
+        double outcomeDetail = parseDouble(fields[5]);
+        String[] loadReport = loadReport(fields[8]);
+        instance.policy.attemptEnded(message, finished, parseInt(fields[3]), endpoint, outcome,
+            outcome == PolicyActions.OVERLOADED ? Math.round(outcomeDetail * 1000) : 0,
+            parseMicros(fields[6]),
+            reportValue(loadReport, instance.remainingShareColumn),
+            reportValue(loadReport, instance.reportedLimitColumn));
+        if (finished && !instance.isEnded(message)) {
+            instance.end(message);
         }
-        instance.shotBack(envelope);
+        instance.attemptEnded(message);
     }
 
-    private void hangup(String[] f) {
-        need(f, 2);
-        Instance instance = instance();
-        int envelope = instance.envelopes.find(f[1]);
-        if (envelope >= 0 && !instance.isOver(envelope)) {
-            instance.logic.messageWithdrawn(envelope);
-            instance.ended(envelope);
+    private void withdrawMessage(String[] fields) {
+        requireFieldCount(fields, 2);
+        RelayInstance instance = instance();
+        int message = instance.messages.find(fields[1]);
+        if (message >= 0 && !instance.isEnded(message)) {
+            instance.policy.messageWithdrawn(message);
+            instance.end(message);
         }
     }
 
-    private void pong(String[] f) {
-        need(f, 5);
-        Instance instance = instance();
-        if (instance.endpoints.find(f[1]) < 0) {
-            throw new InvalidInputException("a probe's result for an unknown endpoint " + f[1]);
+    private void checkProbeResult(String[] fields) {
+        requireFieldCount(fields, 5);
+        RelayInstance instance = instance();
+        if (instance.endpoints.find(fields[1]) < 0) {
+            throw new InvalidInputException("probe result for an unknown endpoint: " + fields[1]);
         }
     }
 
-    private void datagram(String[] f) {
-        need(f, 3);
-        integer(f[1]);
+    private void checkPeerMessage(String[] fields) {
+        requireFieldCount(fields, 3);
+        parseInt(fields[1]);
         instance();
     }
 
-    private static String[] report(String field) {
+    private static String[] loadReport(String field) {
         return field.equals("-") || field.isEmpty() ? new String[0] : field.split(",");
     }
 
-    private static double column(String[] report, int column) {
-        return column < 0 || column >= report.length ? Double.NaN : decimal(report[column]);
+    /** Returns one value of a load report; NaN if it is missing. */
+    private static double reportValue(String[] loadReport, int column) {
+        return column < 0 || column >= loadReport.length ? Double.NaN : parseDouble(loadReport[column]);
     }
 
-    private static void need(String[] fields, int count) {
+    private static void requireFieldCount(String[] fields, int count) {
         if (fields.length != count) {
             throw new InvalidInputException(
                 fields[0] + " has " + (fields.length - 1) + " fields, not " + (count - 1));
         }
     }
 
+    /** Splits a line at its tabs, keeping empty fields. */
     private static String[] split(String line) {
         int count = 1;
         for (int i = line.indexOf('\t'); i >= 0; i = line.indexOf('\t', i + 1)) {
             count++;
         }
         String[] fields = new String[count];
-        int from = 0;
+        int start = 0;
         for (int i = 0; i < count - 1; i++) {
-            int tab = line.indexOf('\t', from);
-            fields[i] = line.substring(from, tab);
-            from = tab + 1;
+            int tab = line.indexOf('\t', start);
+            fields[i] = line.substring(start, tab);
+            start = tab + 1;
         }
-        fields[count - 1] = line.substring(from);
+        fields[count - 1] = line.substring(start);
         return fields;
     }
 
-    private static double decimal(String field) {
+    private static double parseDouble(String field) {
         if (field.equals("-")) {
             return 0;
         }
         try {
             return Double.parseDouble(field);
-        } catch (NumberFormatException e) {
+        } catch (NumberFormatException exception) {
             throw new InvalidInputException("not a number: " + field);
         }
     }
 
-    private static long micros(String field) {
-        return Math.round(decimal(field) * 1000);
+    /** Parses a time in milliseconds and returns it in microseconds. */
+    private static long parseMicros(String field) {
+        return Math.round(parseDouble(field) * 1000);
     }
 
-    private static long whole(String field) {
+    private static long parseLong(String field) {
         try {
             return Long.parseLong(field);
-        } catch (NumberFormatException e) {
-            throw new InvalidInputException("not a whole number: " + field);
+        } catch (NumberFormatException exception) {
+            throw new InvalidInputException("not an integer: " + field);
         }
     }
 
-    private static int integer(String field) {
-        long value = whole(field);
+    private static int parseInt(String field) {
+        long value = parseLong(field);
         if (value != (int) value) {
             throw new InvalidInputException("out of range: " + field);
         }
--- a/relay/src/main/java/yewpath/wirehost/package-info.java
+++ b/relay/src/main/java/yewpath/wirehost/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Hosts many instances of the decision module behind the simulator's line protocol on standard input and
- * output.
+ * Hosts instances of the delivery policy for the simulator, which speaks a line protocol on standard input
+ * and output.
  */
 package yewpath.wirehost;
