--- a/lab/src/main/java/yewpath/lab/Footprint.java
+++ b/lab/src/main/java/yewpath/lab/FootprintBenchmark.java
@@ -7,11 +7,11 @@
 import yewpath.PolicySettings;
 
 /** What Logic keeps, in bytes of heap: for ordered keys long over, and for destinations at rest. */
-final class Footprint {
+final class FootprintBenchmark {
     private static final long SECOND = 1_000_000;
     private final PrintStream say;
 
-    Footprint(PrintStream say) {
+    FootprintBenchmark(PrintStream say) {
         this.say = say;
     }
 
--- a/lab/src/main/java/yewpath/lab/Main.java
+++ b/lab/src/main/java/yewpath/lab/Main.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import yewpath.configuration.ConfigurationException;
-import yewpath.lab.load.Live;
+import yewpath.lab.load.SocketRun;
 import yewpath.lab.report.Compare;
 import yewpath.lab.report.Report;
 import yewpath.lab.run.Results;
@@ -146,7 +146,7 @@
                 case "report" -> report(report);
                 case "keys" -> print(ScenarioFile.reference());
                 case "starts" -> starts(starts);
-                case "sizes" -> new Sizes(System.out).run(sizes.envelopes, sizes.destinations);
+                case "sizes" -> new ScalingBenchmark(System.out).run(sizes.envelopes, sizes.destinations);
                 case "footprint" -> footprint(footprint);
                 default -> print("yewpath-lab " + version() + "\n");
             });
@@ -175,7 +175,7 @@
         if (words.count < 1_000 || words.count > 1_000_000) {
             fail("--count is from 1000 to 1000000");
         }
-        return new Footprint(System.out).run(words.count);
+        return new FootprintBenchmark(System.out).run(words.count);
     }
 
     private static int run(RunWord words) throws IOException, InterruptedException, ConfigurationException {
@@ -225,24 +225,25 @@
             if (!Files.exists(Path.of(words.relay))) {
                 fail(words.relay + " is not there; name the relay's jar by --relay");
             }
-            Live live = new Live(System.out, file.base());
-            World.Outcome sockets = live.play(List.of(
+            SocketRun live = new SocketRun(System.out, file.base());
+            World.RunResult sockets = live.run(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xms76m", "-Xmx76m", "-jar", words.relay));
             System.out.println(
                 "| | service | fulfilled | in time | failed | p50 ms | p99 ms | hand-ins | rules broken |\n"
                     + "| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-            System.out.println(Live.line("sockets", sockets));
+            System.out.println(SocketRun.tableRow("sockets", sockets));
             System.out
-                .println(Live.line("emulated", new World(file.base(), "logic", file.base().seed).play()));
-            for (int i = 0; i < live.usage().size(); i++) {
-                Live.Usage one = live.usage().get(i);
-                System.out.println("relay " + i + ": " + one.cpuMs() + " ms of CPU, " + one.residentMb()
-                    + " MB, " + one.descriptors()
+                .println(
+                    SocketRun.tableRow("emulated", new World(file.base(), "logic", file.base().seed).run()));
+            for (int i = 0; i < live.resourceUsage().size(); i++) {
+                SocketRun.ResourceUsage one = live.resourceUsage().get(i);
+                System.out.println("relay " + i + ": " + one.cpuMillis() + " ms of CPU, " + one.residentMb()
+                    + " MB, " + one.openDescriptors()
                     + " descriptors at most");
             }
-            sockets.rulesBroken().forEach(System.out::println);
-            return sockets.broken() == 0 ? 0 : 1;
+            sockets.violations().forEach(System.out::println);
+            return sockets.violationCount() == 0 ? 0 : 1;
         } catch (IllegalArgumentException unfit) {
             System.err.println("yewpath-lab: " + unfit.getMessage());
             return 2;
@@ -286,7 +287,8 @@
                 fail(checkout + " has no deploy/run.sh");
             }
         }
-        return new Starts(System.out, words.envelopes, words.rate, words.destinations).run(checkouts,
+        return new StartupBenchmark(System.out, words.envelopes, words.rate, words.destinations).run(
+            checkouts,
             words.times);
     }
 
--- a/lab/src/main/java/yewpath/lab/Sizes.java
+++ b/lab/src/main/java/yewpath/lab/ScalingBenchmark.java
@@ -10,12 +10,12 @@
 import yewpath.lab.world.World;
 
 /** What a run costs by its size, and Logic's own share of that. Times are of this machine and not part of any table. */
-final class Sizes {
+final class ScalingBenchmark {
     private static final String BASE = "[run]\nlength = \"20 s\"\n[world]\nhold = 100000\nslots = 10000\nendpoints = 1\n[endpoint]\nservice = \"20 ms\"\n"
         + "capacity = 1000\n";
     private final PrintStream say;
 
-    Sizes(PrintStream say) {
+    ScalingBenchmark(PrintStream say) {
         this.say = say;
     }
 
@@ -45,14 +45,14 @@
         System.gc();
         long begun = System.nanoTime();
         World world = new World(s, "logic", 1);
-        World.Outcome outcome = world.play();
+        World.RunResult outcome = world.run();
         double seconds = (System.nanoTime() - begun) / 1e9;
         if (told) {
             System.gc();
             Runtime runtime = Runtime.getRuntime();
-            say.printf(Locale.ROOT, "| %d | %d | %d | %.2f | %.0f | %.2f | %d |%n", outcome.wishes(),
+            say.printf(Locale.ROOT, "| %d | %d | %d | %.2f | %.0f | %.2f | %d |%n", outcome.requests(),
                 destinations, relays, seconds,
-                outcome.events() / seconds, outcome.decideMicros(),
+                outcome.eventCount() / seconds, outcome.decisionMicrosPerMessage(),
                 (runtime.totalMemory() - runtime.freeMemory()) >> 20);
         }
         // Kept reachable while its heap was counted.
--- a/lab/src/main/java/yewpath/lab/Starts.java
+++ b/lab/src/main/java/yewpath/lab/StartupBenchmark.java
@@ -29,7 +29,7 @@
  * Figures of one run can be compared with each other, not with those of another run or machine. Linux only: memory
  * and CPU are read from /proc.
  */
-final class Starts {
+final class StartupBenchmark {
     private static final long SECOND = 1_000_000;
 
     private record Figures(double readyMs, double readyCpuMs, double residentMb, double cpuMicros,
@@ -40,7 +40,7 @@
     private final int rate;
     private final int destinations;
 
-    Starts(PrintStream say, int envelopes, int rate, int destinations) {
+    StartupBenchmark(PrintStream say, int envelopes, int rate, int destinations) {
         this.say = say;
         this.envelopes = envelopes;
         this.rate = rate;
@@ -112,9 +112,9 @@
                     Thread.sleep(2);
                 }
                 double readyMs = (System.nanoTime() - begun) / 1e6;
-                double readyCpu = proc.cpuMs();
+                double readyCpu = proc.cpuMillis();
                 load(reactor, accounts, new Client(reactor, accounts, at));
-                double cpu = proc.cpuMs() - readyCpu;
+                double cpu = proc.cpuMillis() - readyCpu;
                 long fulfilled = accounts.messages().stream()
                     .filter(one -> one.state == DeliveryReferee.DeliveryState.DELIVERED)
                     .count();
--- a/lab/src/main/java/yewpath/lab/load/Proc.java
+++ b/lab/src/main/java/yewpath/lab/load/Proc.java
@@ -16,7 +16,7 @@
     }
 
     /** CPU since its start, in its own code and the system's. */
-    public long cpuMs() throws IOException {
+    public long cpuMillis() throws IOException {
         String stat = Files.readString(folder.resolve("stat"));
         // The second field, a name in brackets, may hold spaces.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -29,7 +29,7 @@
             .orElse(Double.NaN);
     }
 
-    public long descriptors() throws IOException {
+    public long openDescriptors() throws IOException {
         try (Stream<Path> files = Files.list(folder.resolve("fd"))) {
             return files.count();
         }
--- a/lab/src/main/java/yewpath/lab/load/SocketHost.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketHost.java
@@ -29,7 +29,7 @@
     }
 
     private static final long PATIENCE = 400_000;
-    private final Live live;
+    private final SocketRun live;
     private final World world;
     private final int index;
     private final ArrayDeque<Link> free = new ArrayDeque<>();
@@ -38,7 +38,7 @@
     private volatile boolean up;
     private int open;
 
-    SocketHost(Live live, World world, int index) {
+    SocketHost(SocketRun live, World world, int index) {
         this.live = live;
         this.world = world;
         this.index = index;
--- a/lab/src/main/java/yewpath/lab/load/Live.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketRun.java
@@ -17,9 +17,9 @@
 import yewpath.standins.referee.PlatformObserver;
 
 /** One run on sockets. All of it but the relays lives on one reactor's thread. */
-public final class Live {
+public final class SocketRun {
     /** What a relay took of the machine: CPU in milliseconds over the run, most memory and descriptors. */
-    public record Usage(long cpuMs, long residentMb, long descriptors) {}
+    public record ResourceUsage(long cpuMillis, long residentMb, long openDescriptors) {}
 
     private static final List<String> PLAYED = List.of("silent", "refuse", "slow", "errors", "resets",
         "limit", "drain", "burst",
@@ -37,10 +37,10 @@
     private final ArrayList<SocketHost> holders = new ArrayList<>();
     private long begunAt;
     private long armedFor = Long.MAX_VALUE;
-    private final List<Usage> usage = new ArrayList<>();
+    private final List<ResourceUsage> usage = new ArrayList<>();
 
     /** Throws IllegalArgumentException for a trouble that sockets on one machine can't have. */
-    public Live(PrintStream say, Scenario scenario) throws IOException {
+    public SocketRun(PrintStream say, Scenario scenario) throws IOException {
         this.say = say;
         s = scenario;
         for (Scenario.Trouble trouble : s.troubles) {
@@ -61,7 +61,7 @@
     }
 
     /** {@code command} starts a relay, without its arguments. */
-    public World.Outcome play(List<String> command) throws IOException, InterruptedException {
+    public World.RunResult run(List<String> command) throws IOException, InterruptedException {
         try {
             reactor.call(() -> {
                 world = new World(s, "logic", s.seed, (w, index) -> {
@@ -118,11 +118,11 @@
             for (int i = 0; i < processes.size(); i++) {
                 try {
                     Proc proc = new Proc(processes.get(i).pid());
-                    long now = proc.cpuMs();
+                    long now = proc.cpuMillis();
                     first[i] = second == 0 ? now : first[i];
                     cpu[i] = Math.max(cpu[i], now - first[i]);
                     resident[i] = Math.max(resident[i], (long) proc.residentMb());
-                    descriptors[i] = Math.max(descriptors[i], proc.descriptors());
+                    descriptors[i] = Math.max(descriptors[i], proc.openDescriptors());
                 } catch (IOException gone) {
                     // Killed by the scenario, and not yet back.
                     continue;
@@ -130,12 +130,12 @@
             }
         }
         for (int i = 0; i < processes.size(); i++) {
-            usage.add(new Usage(cpu[i], resident[i], descriptors[i]));
+            usage.add(new ResourceUsage(cpu[i], resident[i], descriptors[i]));
         }
     }
 
     /** By relay. */
-    public List<Usage> usage() {
+    public List<ResourceUsage> resourceUsage() {
         return usage;
     }
 
@@ -219,11 +219,11 @@
     }
 
     /** A line of what a run came to. */
-    public static String line(String what, World.Outcome o) {
+    public static String tableRow(String what, World.RunResult o) {
         return String.format(Locale.ROOT, "| %s | %.4f | %.4f | %.4f | %.4f | %.1f | %.1f | %d | %d |", what,
-            o.service(), o.fulfilled(),
-            o.inTime(), o.failed(), o.delays().getValueAtPercentile(50) / 1e3,
-            o.delays().getValueAtPercentile(99) / 1e3, o.handIns(),
-            o.broken());
+            o.revenueShare(), o.deliveredShare(),
+            o.onTimeShare(), o.failedShare(), o.deliveryDelays().getValueAtPercentile(50) / 1e3,
+            o.deliveryDelays().getValueAtPercentile(99) / 1e3, o.submissions(),
+            o.violationCount());
     }
 }
--- a/lab/src/main/java/yewpath/lab/load/SocketStation.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketStation.java
@@ -20,13 +20,13 @@
 
 /** An emulated endpoint behind a real port. */
 final class SocketStation implements ListedEndpoint {
-    private final Live live;
+    private final SocketRun live;
     private final Station station;
     private final Set<Visit> visits = new LinkedHashSet<>();
     private Reactor.ServerPort port;
     private InetSocketAddress address;
 
-    SocketStation(Live live, Station station) throws IOException {
+    SocketStation(SocketRun live, Station station) throws IOException {
         this.live = live;
         this.station = station;
         address = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
--- a/lab/src/main/java/yewpath/lab/run/Runs.java
+++ b/lab/src/main/java/yewpath/lab/run/Runs.java
@@ -70,7 +70,7 @@
         for (Run run : left) {
             pool.execute(() -> {
                 try {
-                    World.Outcome outcome = new World(file.at(run.point), run.policy, run.seed).play();
+                    World.RunResult outcome = new World(file.at(run.point), run.policy, run.seed).run();
                     String line = line(run, outcome);
                     synchronized (finished) {
                         Files.writeString(lines, line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -157,15 +157,17 @@
         return done;
     }
 
-    private static double[] figures(World.Outcome o) {
-        return new double[]{o.service(), o.fulfilled(), o.inTime(), o.failed(), o.wishes(), o.handIns(),
-            o.refusals(), o.deferrals(),
-            o.falls(), o.broken(), o.events(), o.delays().getValueAtPercentile(50) / 1e3,
-            o.delays().getValueAtPercentile(99) / 1e3,
-            o.delays().getValueAtPercentile(99.9) / 1e3};
+    private static double[] figures(World.RunResult o) {
+        return new double[]{o.revenueShare(), o.deliveredShare(), o.onTimeShare(), o.failedShare(),
+            o.requests(), o.submissions(),
+            o.refusals(), o.rejections(),
+            o.collapses(), o.violationCount(), o.eventCount(),
+            o.deliveryDelays().getValueAtPercentile(50) / 1e3,
+            o.deliveryDelays().getValueAtPercentile(99) / 1e3,
+            o.deliveryDelays().getValueAtPercentile(99.9) / 1e3};
     }
 
-    private static String line(Run run, World.Outcome outcome) throws IOException {
+    private static String line(Run run, World.RunResult outcome) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
@@ -186,15 +188,16 @@
         return text + "\n";
     }
 
-    private void series(Run run, World.Outcome outcome) throws IOException {
+    private void series(Run run, World.RunResult outcome) throws IOException {
         StringBuilder csv = new StringBuilder(
             "at_s,wished,fulfilled,refused,held,serving,waiting,relay_0_holds,relay_0_out\n");
-        for (World.Moment m : outcome.series()) {
-            csv.append(m.at() / 1e6).append(',').append(m.wished()).append(',').append(m.fulfilled())
-                .append(',').append(m.refused())
-                .append(',').append(m.held()).append(',').append(m.serving()).append(',').append(m.waiting())
+        for (World.Sample m : outcome.samples()) {
+            csv.append(m.atMicros() / 1e6).append(',').append(m.requests()).append(',').append(m.deliveries())
+                .append(',').append(m.refusedOrRejected())
+                .append(',').append(m.openMessages()).append(',').append(m.callsInService()).append(',')
+                .append(m.callsQueued())
                 .append(',')
-                .append(m.oneHolds()).append(',').append(m.oneHasOut()).append('\n');
+                .append(m.firstRelayOpenMessages()).append(',').append(m.firstRelayOpenCalls()).append('\n');
         }
         Files.writeString(Files.createDirectories(folder.resolve("series")).resolve(file(run.id()) + ".csv"),
             csv);
@@ -205,12 +208,12 @@
         return id.replaceAll("[^A-Za-z0-9.=_-]", "_");
     }
 
-    private void histogram(Run run, World.Outcome outcome) throws IOException {
+    private void histogram(Run run, World.RunResult outcome) throws IOException {
         Path logs = Files.createDirectories(folder.resolve("delays"));
         try (PrintStream to = new PrintStream(logs.resolve(file(run.id()) + ".hgrm").toFile())) {
             HistogramLogWriter log = new HistogramLogWriter(to);
             log.outputLogFormatVersion();
-            log.outputIntervalHistogram(outcome.delays());
+            log.outputIntervalHistogram(outcome.deliveryDelays());
         }
     }
 
--- a/lab/src/main/java/yewpath/lab/run/Search.java
+++ b/lab/src/main/java/yewpath/lab/run/Search.java
@@ -61,12 +61,12 @@
             Scenario strict = scenario(file, day);
             strict.strict = true;
             try {
-                double own = new World(strict, "logic", strict.seed).play().service();
+                double own = new World(strict, "logic", strict.seed).run().revenueShare();
                 double best = 0;
                 for (String rival : RIVALS) {
-                    World.Outcome outcome = new World(scenario(file, day), rival, strict.seed).play();
+                    World.RunResult outcome = new World(scenario(file, day), rival, strict.seed).run();
                     // One that breaks rules has won nothing.
-                    best = outcome.broken() > 0 ? best : Math.max(best, outcome.service());
+                    best = outcome.violationCount() > 0 ? best : Math.max(best, outcome.revenueShare());
                 }
                 return best - own;
             } catch (Referee.Broken broken) {
--- a/lab/src/main/java/yewpath/lab/world/World.java
+++ b/lab/src/main/java/yewpath/lab/world/World.java
@@ -10,15 +10,15 @@
 /** One run: builds the world, plays it to its end, and tells what became of it. One thread; the same seed, the same run. */
 public final class World {
     /** What a run comes to. Delays are in microseconds. */
-    public record Outcome(double service, double fulfilled, double inTime, double failed, long wishes,
-        long handIns, long refusals,
-        long deferrals, long falls, int broken, long events, double decideMicros, Histogram delays,
-        java.util.List<String> rulesBroken, java.util.List<Moment> series) {}
+    public record RunResult(double revenueShare, double deliveredShare, double onTimeShare,
+        double failedShare, long requests, long submissions, long refusals, long rejections, long collapses,
+        int violationCount, long eventCount, double decisionMicrosPerMessage, Histogram deliveryDelays,
+        java.util.List<String> violations, java.util.List<Sample> samples) {}
 
     /** One of some hundred moments of a run: counts since the moment before, and what is held and served just then. */
-    public record Moment(long at, long wished, long fulfilled, long refused, int held, int serving,
-        int waiting, int oneHolds,
-        int oneHasOut) {}
+    public record Sample(long atMicros, long requests, long deliveries, long refusedOrRejected,
+        int openMessages, int callsInService, int callsQueued, int firstRelayOpenMessages,
+        int firstRelayOpenCalls) {}
 
     private static final int MOMENTS = 120;
 
@@ -40,7 +40,7 @@
     private final Chance losses;
     private final Chance troubles;
     private boolean[] cut;
-    private final java.util.List<Moment> series = new java.util.ArrayList<>();
+    private final java.util.List<Sample> series = new java.util.ArrayList<>();
 
     /** Makes a relay of a world: emulated, or another kind. */
     public interface Maker {
@@ -89,7 +89,7 @@
     }
 
     /** Plays the run. A broken rule in a strict scenario ends it by {@link Referee.Broken}. */
-    public Outcome play() {
+    public RunResult run() {
         begin();
         calendar.playTo(end());
         return close();
@@ -114,7 +114,7 @@
     }
 
     /** Closes the books and tells what the run came to. */
-    public Outcome close() {
+    public RunResult close() {
         referee.close(calendar.now(), crowd.envelopes());
         long falls = 0;
         for (Station one : stations) {
@@ -125,7 +125,8 @@
             nanos += relay.decideNanos();
         }
         double wishes = Math.max(1, crowd.wishes);
-        return new Outcome(crowd.possible == 0 ? 1 : crowd.revenue / crowd.possible, crowd.fulfilled / wishes,
+        return new RunResult(crowd.possible == 0 ? 1 : crowd.revenue / crowd.possible,
+            crowd.fulfilled / wishes,
             crowd.inAgreedTime / wishes, crowd.failed / wishes, crowd.wishes, crowd.handIns, crowd.refusals,
             crowd.deferrals, falls,
             referee.countAll(), calendar.played(), nanos / 1e3 / Math.max(1, crowd.envelopes()), crowd.delays,
@@ -145,7 +146,7 @@
                 waiting += one.waiting();
             }
             series
-                .add(new Moment(calendar.now(), crowd.wishesEver() - wished, crowd.fulfilledEver - fulfilled,
+                .add(new Sample(calendar.now(), crowd.wishesEver() - wished, crowd.fulfilledEver - fulfilled,
                     crowd.refusals + crowd.deferrals - refused, held, serving, waiting, relays[0].open(),
                     relays[0].callsOut()));
             if (calendar.now() < s.length) {
--- a/lab/src/test/java/yewpath/lab/EmulatorTest.java
+++ b/lab/src/test/java/yewpath/lab/EmulatorTest.java
@@ -37,8 +37,8 @@
         + "keys = 4\n[endpoint]\nlimit = 30\nlimit_wait = \"300 ms\"\n[[offering]]\nname = \"a\"\n[[offering]]\nname = \"b\"\nkind = \"once-only\"\n"
         + "[[offering]]\nname = \"c\"\nkind = \"tagged\"\nordered = true\n";
 
-    private static World.Outcome play(String text, String policy, long seed) throws ConfigurationException {
-        return new World(ScenarioFile.parse("s.toml", text).at(Map.of()), policy, seed).play();
+    private static World.RunResult play(String text, String policy, long seed) throws ConfigurationException {
+        return new World(ScenarioFile.parse("s.toml", text).at(Map.of()), policy, seed).run();
     }
 
     @Test
@@ -97,12 +97,12 @@
 
     @Test
     public void theSameSeedIsTheSameRunAndAnotherIsNot() throws ConfigurationException {
-        World.Outcome first = play(SMALL, "logic", 1);
-        World.Outcome again = play(SMALL, "logic", 1);
-        assertEquals(again.events(), first.events());
-        assertEquals(again.service(), first.service());
-        assertEquals(again.delays(), first.delays());
-        assertNotEquals(play(SMALL, "logic", 2).events(), first.events());
+        World.RunResult first = play(SMALL, "logic", 1);
+        World.RunResult again = play(SMALL, "logic", 1);
+        assertEquals(again.eventCount(), first.eventCount());
+        assertEquals(again.revenueShare(), first.revenueShare());
+        assertEquals(again.deliveryDelays(), first.deliveryDelays());
+        assertNotEquals(play(SMALL, "logic", 2).eventCount(), first.eventCount());
     }
 
     @DataProvider
@@ -121,9 +121,9 @@
             + trouble("partition", 13, 2, 0.5, 1)
             + trouble("vanish", 14, 2, 0.4, 1) + trouble("burst", 15, 2, 0, 4)
             + trouble("slow", 16, 2, 1, 10);
-        World.Outcome outcome = play(troubled.replace("[endpoint]", "[endpoint]\nfalls_at = 0"), policy, 3);
-        assertTrue(outcome.fulfilled() > 0.3, policy + " fulfilled " + outcome.fulfilled());
-        assertEquals(outcome.broken(), 0, outcome.rulesBroken().toString());
+        World.RunResult outcome = play(troubled.replace("[endpoint]", "[endpoint]\nfalls_at = 0"), policy, 3);
+        assertTrue(outcome.deliveredShare() > 0.3, policy + " fulfilled " + outcome.deliveredShare());
+        assertEquals(outcome.violationCount(), 0, outcome.violations().toString());
     }
 
     private static String trouble(String what, int at, int length, double part, double amount) {
@@ -148,18 +148,18 @@
 
     @Test(dataProvider = "edges")
     public void edgesArePlayed(String what, String text) throws ConfigurationException {
-        World.Outcome outcome = play(text, "logic", 1);
-        assertEquals(outcome.broken(), 0, what);
-        assertTrue(outcome.wishes() > 0 == !what.equals("no traffic"), what);
+        World.RunResult outcome = play(text, "logic", 1);
+        assertEquals(outcome.violationCount(), 0, what);
+        assertTrue(outcome.requests() > 0 == !what.equals("no traffic"), what);
     }
 
     @Test
     public void ifAllGoesWellAllIsDeliveredAtTheEndpointsPace() throws ConfigurationException {
-        World.Outcome outcome = play(
+        World.RunResult outcome = play(
             "[run]\nlength = \"20 s\"\n[endpoint]\nspread = 0.0\n[network]\nspread = 0.0", "one-try", 1);
-        assertEquals(outcome.fulfilled(), 1.0);
+        assertEquals(outcome.deliveredShare(), 1.0);
         // Service 20 ms and two ways of 1 ms to the endpoint, one from the client: what nobody waits for.
-        assertEquals(outcome.delays().getValueAtPercentile(50) / 1e3, 23.0, 1.0);
+        assertEquals(outcome.deliveryDelays().getValueAtPercentile(50) / 1e3, 23.0, 1.0);
     }
 
     @DataProvider
@@ -265,9 +265,9 @@
         String text = SMALL.replace("5 s", "20 s").replace("[run]", "[run]\nwarm = \"5 s\"")
             .replace("limit = 30", "limit = 30\nrefused_count = 1")
             .replace("rate = 60", "rate = 80");
-        double oracle = play(text, "oracle", 1).service();
+        double oracle = play(text, "oracle", 1).revenueShare();
         for (String policy : Policies.names()) {
-            assertTrue(play(text, policy, 1).service() <= oracle + 0.001, policy);
+            assertTrue(play(text, policy, 1).revenueShare() <= oracle + 0.001, policy);
         }
         assertTrue(oracle > 0.99, "oracle " + oracle);
     }
--- a/lab/src/test/java/yewpath/lab/LiveTest.java
+++ b/lab/src/test/java/yewpath/lab/LiveTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.testng.SkipException;
 import org.testng.annotations.Test;
-import yewpath.lab.load.Live;
+import yewpath.lab.load.SocketRun;
 import yewpath.lab.scenario.ScenarioFile;
 import yewpath.lab.world.World;
 
@@ -17,8 +17,8 @@
 public final class LiveTest {
     private static final Path RELAY = Path.of("../relay/target/yewpath.jar");
 
-    private static Live live(String text) throws Exception {
-        return new Live(System.out, ScenarioFile.parse("s.toml", text).base());
+    private static SocketRun live(String text) throws Exception {
+        return new SocketRun(System.out, ScenarioFile.parse("s.toml", text).base());
     }
 
     @Test
@@ -31,16 +31,18 @@
             + "expiry = \"3 s\"\n[[offering]]\nname = \"c\"\nkind = \"tagged\"\nordered = true\nexpiry = \"3 s\"\n[[trouble]]\nwhat = \"refuse\"\n"
             + "at = \"1 s\"\nfor = \"500 ms\"\n[[trouble]]\nwhat = \"relay-kill\"\nat = \"2 s\"\nfor = \"400 ms\"\n[[trouble]]\nwhat = \"drain\"\n"
             + "at = \"3 s\"\nfor = \"500 ms\"\n";
-        Live live = live(text);
-        World.Outcome outcome = live.play(
+        SocketRun live = live(text);
+        World.RunResult outcome = live.run(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xmx76m", "-jar", RELAY.toString()));
-        assertEquals(outcome.rulesBroken(), List.of());
-        assertTrue(outcome.wishes() > 200 && outcome.fulfilled() > 0.5,
-            outcome.wishes() + " wishes, fulfilled " + outcome.fulfilled());
-        assertEquals(live.usage().size(), 2);
-        assertTrue(live.usage().get(1).residentMb() > 10 && live.usage().get(1).descriptors() > 5,
-            live.usage().toString());
+        assertEquals(outcome.violations(), List.of());
+        assertTrue(outcome.requests() > 200 && outcome.deliveredShare() > 0.5,
+            outcome.requests() + " wishes, fulfilled " + outcome.deliveredShare());
+        assertEquals(live.resourceUsage().size(), 2);
+        assertTrue(
+            live.resourceUsage().get(1).residentMb() > 10
+                && live.resourceUsage().get(1).openDescriptors() > 5,
+            live.resourceUsage().toString());
     }
 
     @Test
