--- a/lab/src/main/java/yewpath/lab/Sizes.java
+++ b/lab/src/main/java/yewpath/lab/Sizes.java
@@ -40,7 +40,7 @@
     private void one(long envelopes, int destinations, int relays, boolean told)
         throws ConfigurationException {
         Scenario s = ScenarioFile.parse("sizes", BASE)
-            .at(Map.of("load.rate", envelopes / 20.0, "world.destinations", (double) destinations,
+            .atPoint(Map.of("load.rate", envelopes / 20.0, "world.destinations", (double) destinations,
                 "world.relays", (double) relays));
         System.gc();
         long begun = System.nanoTime();
--- a/lab/src/main/java/yewpath/lab/core/Calendar.java
+++ b/lab/src/main/java/yewpath/lab/core/EventCalendar.java
@@ -7,16 +7,16 @@
  * played. A 4-ary heap over parallel arrays: ten million events take some 300 MB, and a step touches few cache lines
  * (Johnson 1975, d-heaps). One thread.
  */
-public final class Calendar {
+public final class EventCalendar {
     /** An event that may be called off; what is called off costs nothing but its place until its time. */
-    public static final class Entry {
+    public static final class Timer {
         private Runnable act;
 
-        private Entry(Runnable act) {
+        private Timer(Runnable act) {
             this.act = act;
         }
 
-        public void callOff() {
+        public void cancel() {
             act = null;
         }
     }
@@ -30,16 +30,16 @@
     private long played;
 
     /** Microseconds from the start of the run. */
-    public long now() {
+    public long nowMicros() {
         return now;
     }
 
-    public long played() {
+    public long executedCount() {
         return played;
     }
 
     /** The next event's time; the greatest long where there is none. */
-    public long next() {
+    public long nextEventMicros() {
         return size == 0 ? Long.MAX_VALUE : times[0];
     }
 
@@ -47,17 +47,17 @@
         return size;
     }
 
-    public void in(long micros, Runnable act) {
+    public void scheduleAfter(long micros, Runnable act) {
         add(now + Math.max(0, micros), act);
     }
 
     /** A time that is past is now. */
-    public void at(long time, Runnable act) {
+    public void scheduleAt(long time, Runnable act) {
         add(Math.max(now, time), act);
     }
 
-    public Entry timer(long micros, Runnable act) {
-        Entry entry = new Entry(act);
+    public Timer startTimer(long micros, Runnable act) {
+        Timer entry = new Timer(act);
         add(now + Math.max(0, micros), entry);
         return entry;
     }
@@ -95,12 +95,12 @@
     }
 
     /** Plays all that is due up to {@code end}, which then is now. */
-    public void playTo(long end) {
+    public void runUntil(long end) {
         while (size > 0 && times[0] <= end) {
             now = times[0];
             Object act = acts[0];
             removeFirst();
-            if (act instanceof Entry entry) {
+            if (act instanceof Timer entry) {
                 if (entry.act == null) {
                     continue;
                 }
--- a/lab/src/main/java/yewpath/lab/core/Chance.java
+++ b/lab/src/main/java/yewpath/lab/core/RandomStream.java
@@ -7,11 +7,11 @@
  * Random numbers of one cause. Each cause has a stream of its own, seeded by the run's seed and its name, so that a
  * change of one part does not shift the others. Transforms use StrictMath: the same bytes on any machine.
  */
-public final class Chance {
+public final class RandomStream {
     private final UniformRandomProvider source;
     private double spare = Double.NaN;
 
-    public Chance(long seed, String cause) {
+    public RandomStream(long seed, String cause) {
         long mixed = seed;
         for (int i = 0; i < cause.length(); i++) {
             mixed = mixed * 1_099_511_628_211L ^ cause.charAt(i);
@@ -24,11 +24,11 @@
         return source.nextDouble();
     }
 
-    public int below(int bound) {
+    public int nextInt(int bound) {
         return source.nextInt(bound);
     }
 
-    public boolean is(double share) {
+    public boolean nextBoolean(double share) {
         return share > 0 && source.nextDouble() < share;
     }
 
--- a/lab/src/main/java/yewpath/lab/load/Live.java
+++ b/lab/src/main/java/yewpath/lab/load/Live.java
@@ -43,20 +43,20 @@
     public Live(PrintStream say, Scenario scenario) throws IOException {
         this.say = say;
         s = scenario;
-        for (Scenario.Trouble trouble : s.troubles) {
-            if (!PLAYED.contains(trouble.what())) {
+        for (Scenario.Fault trouble : s.faults) {
+            if (!PLAYED.contains(trouble.type())) {
                 throw new IllegalArgumentException(
-                    "trouble " + trouble.what() + " can't be played on sockets; these can: "
+                    "trouble " + trouble.type() + " can't be played on sockets; these can: "
                         + String.join(", ", PLAYED));
             }
         }
-        if (s.relays > 16 || s.destinations * s.endpointsEach > 2_000) {
+        if (s.relayCount > 16 || s.destinationCount * s.endpointsPerDestination > 2_000) {
             throw new IllegalArgumentException(
                 "at most 16 relays and 2000 endpoints on sockets of one machine");
         }
         // The way is what loopback takes, and is not added once more.
-        s.delay = 1;
-        s.delaySpread = 0;
+        s.networkDelayMicros = 1;
+        s.networkDelaySigma = 0;
         reactor = new Reactor(failure -> say.println("a stand-in failed: " + failure));
     }
 
@@ -84,7 +84,7 @@
                 platform.open(0);
                 return null;
             });
-            for (int i = 0; i < s.relays; i++) {
+            for (int i = 0; i < s.relayCount; i++) {
                 RelayProcess process = new RelayProcess(command, "127.0.0.1:" + platform.address().getPort(),
                     0, offerings(), told(i), List.of());
                 processes.add(process);
@@ -94,7 +94,7 @@
             reactor.call(() -> {
                 begunAt = reactor.nowMicros();
                 world.begin();
-                world.calendar.at(world.end(), over::countDown);
+                world.calendar.scheduleAt(world.end(), over::countDown);
                 arm();
                 return null;
             });
@@ -140,31 +140,34 @@
     }
 
     private List<RelayConfig.MessageClass> offerings() {
-        return s.offerings.stream().map(o -> new RelayConfig.MessageClass(o.name(), switch (o.kind()) {
-            case "repeatable" -> "pure";
-            case "tagged" -> "token";
-            default -> "side_effect";
-        }, o.ordered(), (int) (o.agreed() / 1000), (int) (o.expiry() / 1000))).toList();
+        return s.messageClasses.stream()
+            .map(o -> new RelayConfig.MessageClass(o.name(), switch (o.semantics()) {
+                case "repeatable" -> "pure";
+                case "tagged" -> "token";
+                default -> "side_effect";
+            }, o.ordered(), (int) (o.onTimeMicros() / 1000), (int) (o.timeToLiveMicros() / 1000))).toList();
     }
 
     private RelayConfig.RelaySettings told(int index) {
-        return new RelayConfig.RelaySettings(s.relays, index, s.slots, s.hold, s.tries,
-            s.connectTimeout / 1000,
-            s.connectionIdle / 1000, s.coldFrom,
-            s.coldFor / 1000, s.fallMultiple, s.fallFor / 1000, World.SETTLE / 1000, false, 192);
+        return new RelayConfig.RelaySettings(s.relayCount, index, s.maxConcurrentCalls, s.maxOpenMessages,
+            s.maxAttempts,
+            s.connectTimeoutMicros / 1000,
+            s.idleConnectionTimeoutMicros / 1000, s.endpointWarmUpInitialShare,
+            s.endpointWarmUpMicros / 1000, s.collapseMultiple, s.collapseMicros / 1000, World.SETTLE / 1000,
+            false, 192);
     }
 
     // ---- Time
 
     /** Brings the world to the present, lets something happen in it, and sees to what is due next. */
     void act(Runnable happens) {
-        world.calendar.playTo(reactor.nowMicros() - begunAt);
+        world.calendar.runUntil(reactor.nowMicros() - begunAt);
         happens.run();
         arm();
     }
 
     private void arm() {
-        long next = world.calendar.next();
+        long next = world.calendar.nextEventMicros();
         if (next < armedFor) {
             armedFor = next;
             reactor.schedule(next - (reactor.nowMicros() - begunAt), () -> {
@@ -205,10 +208,10 @@
         if (e == null) {
             say.println("a notice for an envelope that nobody handed in: " + id);
         } else if (handedBack) {
-            world.referee.deferred(world.calendar.now(), e.index);
+            world.referee.rejected(world.calendar.nowMicros(), e.index);
             world.crowd.ended(e, true, pause);
         } else {
-            world.referee.aborted(world.calendar.now(), e.index);
+            world.referee.failed(world.calendar.nowMicros(), e.index);
             world.crowd.ended(e, false, 0);
         }
     }
--- a/lab/src/main/java/yewpath/lab/load/SocketHost.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketHost.java
@@ -79,7 +79,7 @@
         String key = e.key < 0 ? "X-None: 0" : "Affinity-Key: k" + e.key;
         byte[] request = HttpMessage.encode("POST /" + e.offering.name() + " HTTP/1.1", new byte[100],
             "Host: relay", "Request-Id: " + live.id(e, this),
-            "Request-Timeout: " + (e.expiry - world.calendar.now()) + "u",
+            "Request-Timeout: " + (e.expiry - world.calendar.nowMicros()) + "u",
             "X-Addressing: dest=" + e.destination, "Tenant: demo", key);
         Link link = free.pollLast();
         (link == null ? new Link() : link).ask(e, request, link != null);
@@ -92,13 +92,13 @@
     /** A call of this relay has come to an endpoint. */
     void out(Shot shot, Asker on) {
         out.put(shot, on);
-        world.referee.sent(world.calendar.now(), shot.envelope.index, index, shot.to.index,
+        world.referee.callSent(world.calendar.nowMicros(), shot.envelope.index, index, shot.to.index,
             key(shot.envelope));
     }
 
     void back(Shot shot) {
         out.remove(shot);
-        world.referee.back(shot.envelope.index, index, key(shot.envelope));
+        world.referee.outcomeReceived(shot.envelope.index, index, key(shot.envelope));
     }
 
     @Override
@@ -109,11 +109,11 @@
             return;
         }
         if (pause > 0) {
-            world.referee.waitTold(world.calendar.now(), shot.to.route(shot), pause);
+            world.referee.waitAdvertised(world.calendar.nowMicros(), shot.to.route(shot), pause);
         }
         on.answered(outcome, pause);
         if (outcome == PolicyActions.DELIVERED) {
-            world.referee.fulfilled(world.calendar.now(), shot.envelope.index);
+            world.referee.delivered(world.calendar.nowMicros(), shot.envelope.index);
             world.crowd.fulfilled(shot.envelope);
         }
     }
@@ -123,7 +123,7 @@
         if (index == 0) {
             live.tell();
         }
-        world.referee.listed(world.calendar.now(), index, one.index, !one.isDraining());
+        world.referee.endpointListed(world.calendar.nowMicros(), index, one.index, !one.isDraining());
     }
 
     @Override
@@ -134,7 +134,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        world.referee.died(index);
+        world.referee.relayStopped(index);
     }
 
     @Override
@@ -205,7 +205,7 @@
             long pause = told == null ? 0 : Math.round(Double.parseDouble(told) * 1e6);
             live.act(() -> {
                 switch (answer.status()) {
-                    case 200, 202 -> world.referee.taken(world.calendar.now(), e.index, index);
+                    case 200, 202 -> world.referee.accepted(world.calendar.nowMicros(), e.index, index);
                     case 429, 503 -> world.crowd.refused(e, pause);
                     default -> world.crowd.ended(e, false, 0);
                 }
--- a/lab/src/main/java/yewpath/lab/load/SocketStation.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketStation.java
@@ -117,7 +117,7 @@
                     "a call that nobody handed in, or for another destination: " + id);
             }
             SocketHost host = live.holder(id);
-            shot = new Shot(e, station, host, 0, 0, live.world.calendar.now());
+            shot = new Shot(e, station, host, 0, 0, live.world.calendar.nowMicros());
             host.out(shot, this);
             station.arrives(shot);
         }
--- a/lab/src/main/java/yewpath/lab/policy/Policies.java
+++ b/lab/src/main/java/yewpath/lab/policy/Policies.java
@@ -6,12 +6,12 @@
 import java.util.function.IntToDoubleFunction;
 import yewpath.PolicyActions;
 import yewpath.PolicySettings;
-import yewpath.lab.core.Chance;
+import yewpath.lab.core.RandomStream;
 
 /** All policies by name. */
 public final class Policies {
     /** What a policy is made from; {@code truth} gives the true room of an endpoint, for the oracle alone. */
-    public record Given(PolicySettings settings, long seed, PolicyActions out, Chance chance, long now,
+    public record Given(PolicySettings settings, long seed, PolicyActions out, RandomStream chance, long now,
         IntToDoubleFunction truth) {}
 
     private interface Maker {
--- a/lab/src/main/java/yewpath/lab/policy/Textbook.java
+++ b/lab/src/main/java/yewpath/lab/policy/Textbook.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 import yewpath.PolicyActions;
 import yewpath.PolicySettings;
-import yewpath.lab.core.Chance;
+import yewpath.lab.core.RandomStream;
 
 /**
  * What the textbook policies share: a line in order of arrival for each destination, told waits heeded, drains kept, no
@@ -51,7 +51,7 @@
     private static final long AHEAD = 40_000;
     final PolicySettings settings;
     final PolicyActions out;
-    final Chance chance;
+    final RandomStream chance;
     long now;
     private final int slots;
     private final Map<Integer, Lane> lanes = new HashMap<>();
@@ -67,7 +67,7 @@
     private int slotsOut;
     private long alarmAt = Long.MAX_VALUE;
 
-    Textbook(PolicySettings settings, PolicyActions out, Chance chance, long now) {
+    Textbook(PolicySettings settings, PolicyActions out, RandomStream chance, long now) {
         this.settings = settings;
         this.out = out;
         this.chance = chance;
@@ -95,7 +95,7 @@
 
     /** One of those that may be used; the list is not empty. */
     int choose(List<Integer> endpoints) {
-        return endpoints.get(chance.below(endpoints.size()));
+        return endpoints.get(chance.nextInt(endpoints.size()));
     }
 
     long within(Held one) {
--- a/lab/src/main/java/yewpath/lab/referee/Referee.java
+++ b/lab/src/main/java/yewpath/lab/referee/Referee.java
@@ -23,11 +23,11 @@
     }
 
     /** A rule was broken: what, and the trace. */
-    public static final class Broken extends RuntimeException {
+    public static final class RuleViolation extends RuntimeException {
         private static final long serialVersionUID = 1L;
         public final transient Rule rule;
 
-        Broken(Rule rule, String what) {
+        RuleViolation(Rule rule, String what) {
             super(what, null, false, false);
             this.rule = rule;
         }
@@ -48,10 +48,31 @@
     }
 
     /** The kinds of message class that the rules distinguish. */
-    public enum Kind {
-        REPEATABLE,
-        TAGGED,
-        ONCE_ONLY
+    public enum DeliverySemantics {
+        IDEMPOTENT("repeatable"),
+        DEDUPLICATED("tagged"),
+        AT_MOST_ONCE("once-only");
+
+        private final String word;
+
+        DeliverySemantics(String word) {
+            this.word = word;
+        }
+
+        /**
+         * Returns the semantics with this name in scenario files: repeatable, tagged or once-only.
+         *
+         * @throws IllegalArgumentException for any other word
+         */
+        public static DeliverySemantics ofWord(String word) {
+            for (DeliverySemantics semantics : values()) {
+                if (semantics.word.equals(word)) {
+                    return semantics;
+                }
+            }
+            throw new IllegalArgumentException(
+                "delivery semantics must be repeatable, tagged or once-only, found " + word);
+        }
     }
 
     private static final long SAME_MOMENT = 50_000, AFTER_RESTART = 1_500_000;
@@ -82,7 +103,7 @@
     private byte[] out = new byte[1024];
     private long[] expiry = new long[1024];
     private int[] intentOf = new int[1024];
-    private Kind[] kinds = new Kind[1024];
+    private DeliverySemantics[] kinds = new DeliverySemantics[1024];
     private long[] memory = new long[1024];
     /** Of intents, which one envelope after another may carry. */
     private int[] runs = new int[1024];
@@ -128,7 +149,7 @@
             String told = rule + " at " + at + " us, envelope " + envelope + ": " + what + trace(envelope);
             first.add(told);
             if (stops) {
-                throw new Broken(rule, told);
+                throw new RuleViolation(rule, told);
             }
         }
     }
@@ -149,7 +170,8 @@
     }
 
     /** An envelope on its way to a relay; {@code intent} is the same for all hand-ins of one wish. */
-    public void handedIn(long at, int envelope, int intent, Kind kind, long itsExpiry, long itsMemory) {
+    public void submitted(long at, int envelope, int intent, DeliverySemantics kind, long itsExpiry,
+        long itsMemory) {
         if (envelope >= state.length) {
             int size = Math.max(2 * state.length, envelope + 1);
             state = Arrays.copyOf(state, size);
@@ -173,13 +195,13 @@
         note(at, What.HANDED_IN, envelope, -1);
     }
 
-    public void taken(long at, int envelope, int relay) {
+    public void accepted(long at, int envelope, int relay) {
         state[envelope] |= OWED;
         note(at, What.TAKEN, envelope, relay);
     }
 
     /** Its relay has gone with all it held, by the platform's doing: nobody is owed anything. */
-    public void excused(int envelope) {
+    public void lossExcused(int envelope) {
         state[envelope] |= EXCUSED;
     }
 
@@ -191,7 +213,7 @@
     }
 
     /** {@code relay} begins a call; {@code key} is negative where nothing is ordered. */
-    public void sent(long at, int envelope, int relay, int endpoint, int key) {
+    public void callSent(long at, int envelope, int relay, int endpoint, int key) {
         note(at, What.SENT, envelope, endpoint);
         Long closed = closedSince.of(relay).get(endpoint);
         if (closed != null && at > closed + drainAfter) {
@@ -207,7 +229,7 @@
     }
 
     /** {@code route} is what a wait binds: a relay in its upper half, a destination in its lower. */
-    public void arrived(long at, int envelope, int endpoint, long route) {
+    public void callArrived(long at, int envelope, int endpoint, long route) {
         note(at, What.ARRIVED, envelope, endpoint);
         if (++out[envelope] > 1) {
             beside.putIfAbsent(envelope, at);
@@ -219,19 +241,20 @@
         }
     }
 
-    public void ran(long at, int envelope, int endpoint) {
+    public void executed(long at, int envelope, int endpoint) {
         note(at, What.RAN, envelope, endpoint);
         int intent = intentOf[envelope];
         boolean again = runs[intent]++ > 0;
-        if (again && (kinds[envelope] == Kind.ONCE_ONLY
-            || kinds[envelope] == Kind.TAGGED && at > firstRun[intent] + memory[envelope])) {
+        if (again && (kinds[envelope] == DeliverySemantics.AT_MOST_ONCE
+            || kinds[envelope] == DeliverySemantics.DEDUPLICATED
+                && at > firstRun[intent] + memory[envelope])) {
             breaks(Rule.TWICE, at, envelope, "it takes effect a second time");
         }
         firstRun[intent] = again ? firstRun[intent] : at;
     }
 
     /** Answered, or its connection has ended and the endpoint knows. */
-    public void callOver(long at, int envelope, int endpoint) {
+    public void callEnded(long at, int envelope, int endpoint) {
         note(at, What.CALL_OVER, envelope, endpoint);
         out[envelope]--;
         if (out[envelope] <= 1) {
@@ -251,31 +274,31 @@
     }
 
     /** The relay has the outcome; nothing of this key is out there any more. */
-    public void back(int envelope, int relay, int key) {
+    public void outcomeReceived(int envelope, int relay, int key) {
         if (key >= 0) {
             holdsKey.of(relay).remove(key, envelope);
         }
     }
 
     /** A relay has died: what it had out is back, and a restart ends the waits it was told, as the operators have it. */
-    public void died(int relay) {
+    public void relayStopped(int relay) {
         waits.of(relay).clear();
         holdsKey.of(relay).clear();
         closedSince.of(relay).clear();
     }
 
-    public void fulfilled(long at, int envelope) {
+    public void delivered(long at, int envelope) {
         over(at, What.FULFILLED, envelope);
     }
 
-    public void deferred(long at, int envelope) {
-        if (kinds[envelope] == Kind.ONCE_ONLY && runs[intentOf[envelope]] > 0) {
+    public void rejected(long at, int envelope) {
+        if (kinds[envelope] == DeliverySemantics.AT_MOST_ONCE && runs[intentOf[envelope]] > 0) {
             breaks(Rule.TWICE, at, envelope, "handed back although it has run");
         }
         over(at, (state[envelope] & OWED) != 0 ? What.DEFERRED : What.REFUSED, envelope);
     }
 
-    public void aborted(long at, int envelope) {
+    public void failed(long at, int envelope) {
         over(at, What.ABORTED, envelope);
     }
 
@@ -290,7 +313,7 @@
     }
 
     /** A wait was written to a relay; {@code route} is what it binds. */
-    public void waitTold(long at, long route, long length) {
+    public void waitAdvertised(long at, long route, long length) {
         long[] wait = waits.of((int) (route >> 32)).get((int) route);
         if (wait == null || at >= wait[1]) {
             waits.of((int) (route >> 32)).put((int) route, new long[]{at, at + length});
@@ -299,7 +322,7 @@
         }
     }
 
-    public void listed(long at, int relay, int endpoint, boolean open) {
+    public void endpointListed(long at, int relay, int endpoint, boolean open) {
         if (open) {
             closedSince.of(relay).remove(endpoint);
         } else {
@@ -308,12 +331,12 @@
     }
 
     /** A destination that was coming back has fallen over under what was sent. */
-    public void pushedOver(long at, int envelope, int endpoint) {
+    public void endpointCollapsed(long at, int envelope, int endpoint) {
         breaks(Rule.PUSHED_OVER, at, envelope, "endpoint " + endpoint + " falls over while it is cold");
     }
 
     /** The end of the run: what is owed and past its time is lost. Returns how many are still open and in time. */
-    public int close(long at, int envelopes) {
+    public int checkLost(long at, int envelopes) {
         int open = 0;
         for (int envelope : List.copyOf(beside.keySet())) {
             judge(envelope, at);
@@ -330,16 +353,16 @@
         return open;
     }
 
-    public int count(Rule rule) {
+    public int violationCount(Rule rule) {
         return counts[rule.ordinal()];
     }
 
-    public int countAll() {
+    public int violationCount() {
         return Arrays.stream(counts).sum();
     }
 
     /** The first few, with their traces. */
-    public List<String> first() {
+    public List<String> firstViolations() {
         return List.copyOf(first);
     }
 }
--- a/lab/src/main/java/yewpath/lab/run/Runs.java
+++ b/lab/src/main/java/yewpath/lab/run/Runs.java
@@ -70,7 +70,7 @@
         for (Run run : left) {
             pool.execute(() -> {
                 try {
-                    World.Outcome outcome = new World(file.at(run.point), run.policy, run.seed).play();
+                    World.Outcome outcome = new World(file.atPoint(run.point), run.policy, run.seed).play();
                     String line = line(run, outcome);
                     synchronized (finished) {
                         Files.writeString(lines, line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -79,7 +79,7 @@
                         done.put(run.id(), line);
                         progress(++finished[0], left.size(), begun);
                     }
-                } catch (Referee.Broken broken) {
+                } catch (Referee.RuleViolation broken) {
                     synchronized (finished) {
                         broke[0] = true;
                         say.println("\nrule broken in " + run.id() + ": " + broken.getMessage());
--- a/lab/src/main/java/yewpath/lab/run/Search.java
+++ b/lab/src/main/java/yewpath/lab/run/Search.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import yewpath.lab.core.Chance;
+import yewpath.lab.core.RandomStream;
 import yewpath.lab.referee.Referee;
 import yewpath.lab.scenario.Scenario;
 import yewpath.lab.scenario.ScenarioFile;
@@ -23,7 +23,7 @@
  */
 public final class Search {
     /** One day: a point within the ranges, and troubles. */
-    public record Day(Map<String, Double> point, List<Scenario.Trouble> troubles) {}
+    public record Day(Map<String, Double> point, List<Scenario.Fault> troubles) {}
 
     /** What a day is worth finding; more is worse, and from {@link #BROKEN} on a rule is broken. */
     public interface Judge {
@@ -41,7 +41,7 @@
     private final Scenario base;
     private final Map<String, double[]> ranges;
     private final Judge judge;
-    private final Chance chance;
+    private final RandomStream chance;
     private final PrintStream say;
     private final int threads;
 
@@ -52,7 +52,7 @@
         this.say = say;
         base = file.base();
         ranges = file.ranges();
-        chance = new Chance(seed, "search");
+        chance = new RandomStream(seed, "search");
     }
 
     /** By how much the best rival does better than Logic on a day, or {@link #BROKEN} where Logic breaks a rule. */
@@ -69,15 +69,15 @@
                     best = outcome.broken() > 0 ? best : Math.max(best, outcome.service());
                 }
                 return best - own;
-            } catch (Referee.Broken broken) {
+            } catch (Referee.RuleViolation broken) {
                 return BROKEN;
             }
         };
     }
 
     private static Scenario scenario(ScenarioFile file, Day day) {
-        Scenario s = file.at(day.point);
-        s.troubles = day.troubles;
+        Scenario s = file.atPoint(day.point);
+        s.faults = day.troubles;
         return s;
     }
 
@@ -130,8 +130,8 @@
     private Day anywhere() {
         Map<String, Double> point = new LinkedHashMap<>();
         ranges.forEach((path, range) -> point.put(path, draw(path, range[0], range[1])));
-        List<Scenario.Trouble> troubles = new ArrayList<>();
-        for (int i = chance.below(5); i > 0; i--) {
+        List<Scenario.Fault> troubles = new ArrayList<>();
+        for (int i = chance.nextInt(5); i > 0; i--) {
             troubles.add(trouble());
         }
         return new Day(point, List.copyOf(troubles));
@@ -139,33 +139,33 @@
 
     private double draw(String path, double least, double most) {
         double drawn = least + chance.uniform() * (most - least);
-        return ScenarioFile.isWhole(path) ? Math.rint(drawn) : drawn;
+        return ScenarioFile.isInteger(path) ? Math.rint(drawn) : drawn;
     }
 
-    private Scenario.Trouble trouble() {
-        String what = KINDS.get(chance.below(KINDS.size()));
-        long at = (long) (chance.uniform() * base.length * 0.8);
-        long length = 1_000 + (long) (chance.uniform() * base.length * 0.3);
+    private Scenario.Fault trouble() {
+        String what = KINDS.get(chance.nextInt(KINDS.size()));
+        long at = (long) (chance.uniform() * base.lengthMicros * 0.8);
+        long length = 1_000 + (long) (chance.uniform() * base.lengthMicros * 0.3);
         double amount = switch (what) {
             case "slow", "burst" -> 1.5 + chance.uniform() * 6;
             default -> 0.05 + chance.uniform() * 0.6;
         };
-        return new Scenario.Trouble(at, length, what, chance.uniform(), amount);
+        return new Scenario.Fault(at, length, what, chance.uniform(), amount);
     }
 
     private Day near(Day from) {
         Map<String, Double> point = new LinkedHashMap<>(from.point);
         ranges.forEach((path, range) -> {
-            if (chance.is(0.5)) {
+            if (chance.nextBoolean(0.5)) {
                 double step = (range[1] - range[0]) * 0.15;
                 point.put(path, draw(path, Math.max(range[0], point.get(path) - step),
                     Math.min(range[1], point.get(path) + step)));
             }
         });
-        List<Scenario.Trouble> troubles = new ArrayList<>(from.troubles);
-        if (!troubles.isEmpty() && chance.is(0.4)) {
-            troubles.set(chance.below(troubles.size()), trouble());
-        } else if (troubles.size() < 6 && chance.is(0.3)) {
+        List<Scenario.Fault> troubles = new ArrayList<>(from.troubles);
+        if (!troubles.isEmpty() && chance.nextBoolean(0.4)) {
+            troubles.set(chance.nextInt(troubles.size()), trouble());
+        } else if (troubles.size() < 6 && chance.nextBoolean(0.3)) {
             troubles.add(trouble());
         }
         return new Day(point, List.copyOf(troubles));
@@ -179,7 +179,7 @@
         while (less) {
             less = false;
             for (int i = 0; i < now.troubles.size() && !less; i++) {
-                List<Scenario.Trouble> fewer = new ArrayList<>(now.troubles);
+                List<Scenario.Fault> fewer = new ArrayList<>(now.troubles);
                 fewer.remove(i);
                 Day tried = new Day(now.point, List.copyOf(fewer));
                 if (judge.loss(tried) >= least) {
@@ -203,6 +203,6 @@
 
     /** The day as a scenario of its own. */
     public String text(Day day) {
-        return file.text(day.point, day.troubles);
+        return file.toToml(day.point, day.troubles);
     }
 }
--- a/lab/src/main/java/yewpath/lab/scenario/Scenario.java
+++ b/lab/src/main/java/yewpath/lab/scenario/Scenario.java
@@ -9,70 +9,70 @@
  */
 public final class Scenario {
     /** One kind of envelope; {@code kind} is repeatable, tagged or once-only, {@code share} its part of the load. */
-    public record Offering(String name, String kind, boolean ordered, double share, double revenue,
-        double lateRevenue,
-        long agreed, long expiry, long memory) {}
+    public record MessageClass(String name, String semantics, boolean ordered, double share, double revenue,
+        double lateRevenueShare, long onTimeMicros, long timeToLiveMicros, long deduplicationMicros) {}
 
     /**
      * A trouble: from {@code at} for {@code length}, {@code what} happens to this part of the destinations or relays.
      * {@code amount} is a factor or a part, by kind.
      */
-    public record Trouble(long at, long length, String what, double part, double amount) {}
+    public record Fault(long startMicros, long durationMicros, String type, double share, double amount) {}
 
     public String name = "unnamed";
     public long seed = 1;
-    public long length;
+    public long lengthMicros;
     /** What is handed in before is played and not counted. */
-    public long warm;
+    public long runWarmUpMicros;
     public int repeats = 1;
     public List<String> policies = List.of("logic");
     /** Parameter by path to the values it takes in turn. */
     public Map<String, List<Double>> sweeps = Map.of();
     public boolean strict;
 
-    public int relays;
-    public int destinations;
-    public int endpointsEach;
-    public int hold;
-    public int slots;
-    public int tries;
+    public int relayCount;
+    public int destinationCount;
+    public int endpointsPerDestination;
+    public int maxOpenMessages;
+    public int maxConcurrentCalls;
+    public int maxAttempts;
 
-    public double rate;
-    public double popularity;
-    public double clump;
-    public int clientRetries;
-    public boolean clientsHeed;
-    public long clientPause;
-    public int keys;
+    public double requestsPerSecond;
+    public double zipfExponent;
+    public double meanArrivalBatchSize;
+    public int maxClientRetries;
+    public boolean clientsHonorRetryAfter;
+    public long clientRetryDelayMicros;
+    public int keysPerDestination;
 
-    public long service;
-    public double serviceSpread;
-    public int capacity;
-    public int queue;
+    public long meanServiceMicros;
+    public double serviceSigma;
+    public int endpointCapacity;
+    public int endpointQueueCapacity;
     /** Of a destination, over all relays; 0 for none. */
-    public double limit;
-    public boolean limitBySpan;
-    public boolean refusedCount;
-    public long limitWait;
-    public double coldFrom;
-    public long coldFor;
-    public double fallMultiple;
-    public long fallFor;
+    public double callsPerSecondLimit;
+    public boolean fixedWindowLimit;
+    public boolean rejectedCallsCount;
+    public long limitRetryAfterMicros;
+    public double endpointWarmUpInitialShare;
+    public long endpointWarmUpMicros;
+    public double collapseMultiple;
+    public long collapseMicros;
 
-    public long delay;
-    public double delaySpread;
-    public double loss;
-    public long handshake;
-    public long connectTimeout;
-    public long connectionIdle;
-    public long directoryDelay;
+    public long networkDelayMicros;
+    public double networkDelaySigma;
+    public double answerLossProbability;
+    public long handshakeMicros;
+    public long connectTimeoutMicros;
+    public long idleConnectionTimeoutMicros;
+    public long directoryDelayMicros;
 
-    public List<Offering> offerings = List.of();
-    public List<Trouble> troubles = List.of();
+    public List<MessageClass> messageClasses = List.of();
+    public List<Fault> faults = List.of();
 
     /** Requests a second that the whole fleet of endpoints can serve, warm and well. */
-    public double capacityRate() {
-        double served = (double) destinations * endpointsEach * capacity * 1e6 / service;
-        return limit > 0 ? Math.min(served, limit * destinations) : served;
+    public double capacityPerSecond() {
+        double served = (double) destinationCount * endpointsPerDestination * endpointCapacity * 1e6
+            / meanServiceMicros;
+        return callsPerSecondLimit > 0 ? Math.min(served, callsPerSecondLimit * destinationCount) : served;
     }
 }
--- a/lab/src/main/java/yewpath/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/yewpath/lab/scenario/ScenarioFile.java
@@ -44,62 +44,70 @@
             (s, x) -> s.seed = (long) x);
         count("run.repeats", 1, 1, 10_000, "Seeds for each point.", (s, x) -> s.repeats = (int) x);
         span("run.length", 30 * S, 10 * MS, 86_400 * S, "How long clients hand in.",
-            (s, x) -> s.length = (long) x);
+            (s, x) -> s.lengthMicros = (long) x);
         span("run.warm", 0, 0, 86_400 * S, "What is handed in before is not counted.",
-            (s, x) -> s.warm = (long) x);
-        count("world.relays", 1, 1, 10_000, "Relays, each alike.", (s, x) -> s.relays = (int) x);
-        count("world.destinations", 10, 1, 1_000_000, "Destinations.", (s, x) -> s.destinations = (int) x);
-        count("world.endpoints", 2, 1, 10_000, "Endpoints of each.", (s, x) -> s.endpointsEach = (int) x);
+            (s, x) -> s.runWarmUpMicros = (long) x);
+        count("world.relays", 1, 1, 10_000, "Relays, each alike.", (s, x) -> s.relayCount = (int) x);
+        count("world.destinations", 10, 1, 1_000_000, "Destinations.",
+            (s, x) -> s.destinationCount = (int) x);
+        count("world.endpoints", 2, 1, 10_000, "Endpoints of each.",
+            (s, x) -> s.endpointsPerDestination = (int) x);
         count("world.hold", 200, 1, 10_000_000, "Envelopes a relay holds at most.",
-            (s, x) -> s.hold = (int) x);
-        count("world.slots", 64, 1, 1_000_000, "Calls a relay may have out.", (s, x) -> s.slots = (int) x);
+            (s, x) -> s.maxOpenMessages = (int) x);
+        count("world.slots", 64, 1, 1_000_000, "Calls a relay may have out.",
+            (s, x) -> s.maxConcurrentCalls = (int) x);
         count("world.tries", 8, 0, 1_000, "Shots of an envelope at most; 0 for any number.",
-            (s, x) -> s.tries = (int) x);
-        part("load.rate", 50, 0, 10_000_000, "Wishes a second over all clients.", (s, x) -> s.rate = x);
+            (s, x) -> s.maxAttempts = (int) x);
+        part("load.rate", 50, 0, 10_000_000, "Wishes a second over all clients.",
+            (s, x) -> s.requestsPerSecond = x);
         part("load.popularity", 0, 0, 3, "Zipf's exponent of destinations; 0 for all alike.",
-            (s, x) -> s.popularity = x);
-        part("load.clump", 1, 1, 100_000, "Mean number that come at once.", (s, x) -> s.clump = x);
+            (s, x) -> s.zipfExponent = x);
+        part("load.clump", 1, 1, 100_000, "Mean number that come at once.",
+            (s, x) -> s.meanArrivalBatchSize = x);
         count("load.retries", 5, 0, 1_000, "How often a client hands in again at most.",
-            (s, x) -> s.clientRetries = (int) x);
+            (s, x) -> s.maxClientRetries = (int) x);
         part("load.heeds", 1, 0, 1, "1: clients heed a told pause; 0: they come back after their own.",
-            (s, x) -> s.clientsHeed = x >= 0.5);
+            (s, x) -> s.clientsHonorRetryAfter = x >= 0.5);
         span("load.pause", 500 * MS, 1 * MS, 600 * S, "Their own pause, spread by half.",
-            (s, x) -> s.clientPause = (long) x);
+            (s, x) -> s.clientRetryDelayMicros = (long) x);
         count("load.keys", 0, 0, 1_000_000, "Keys of ordered envelopes a destination; 0 for none.",
-            (s, x) -> s.keys = (int) x);
-        span("endpoint.service", 20 * MS, 1, 600 * S, "Mean service time.", (s, x) -> s.service = (long) x);
-        part("endpoint.spread", 0.5, 0, 3, "Sigma of its logarithm.", (s, x) -> s.serviceSpread = x);
-        count("endpoint.capacity", 8, 1, 1_000_000, "Calls served at once.", (s, x) -> s.capacity = (int) x);
+            (s, x) -> s.keysPerDestination = (int) x);
+        span("endpoint.service", 20 * MS, 1, 600 * S, "Mean service time.",
+            (s, x) -> s.meanServiceMicros = (long) x);
+        part("endpoint.spread", 0.5, 0, 3, "Sigma of its logarithm.", (s, x) -> s.serviceSigma = x);
+        count("endpoint.capacity", 8, 1, 1_000_000, "Calls served at once.",
+            (s, x) -> s.endpointCapacity = (int) x);
         count("endpoint.queue", 16, 0, 1_000_000, "Calls that wait; one more is refused.",
-            (s, x) -> s.queue = (int) x);
+            (s, x) -> s.endpointQueueCapacity = (int) x);
         part("endpoint.limit", 0, 0, 1e9, "Calls a second to a destination, from all relays; 0 for none.",
-            (s, x) -> s.limit = x);
+            (s, x) -> s.callsPerSecondLimit = x);
         part("endpoint.limit_by_span", 0, 0, 1, "1: counted by whole seconds; 0: a bucket.",
-            (s, x) -> s.limitBySpan = x >= 0.5);
+            (s, x) -> s.fixedWindowLimit = x >= 0.5);
         part("endpoint.refused_count", 0, 0, 1, "1: refused calls use up the limit, too.",
-            (s, x) -> s.refusedCount = x >= 0.5);
+            (s, x) -> s.rejectedCallsCount = x >= 0.5);
         span("endpoint.limit_wait", 0, 0, 600 * S, "The wait told to a call over the limit.",
-            (s, x) -> s.limitWait = (long) x);
+            (s, x) -> s.limitRetryAfterMicros = (long) x);
         part("endpoint.cold_from", 0.2, 0.01, 1, "Part of the capacity just after a return.",
-            (s, x) -> s.coldFrom = x);
+            (s, x) -> s.endpointWarmUpInitialShare = x);
         span("endpoint.cold_for", 10 * S, 0, 3_600 * S, "Until all of it is there; 0 for at once.",
-            (s, x) -> s.coldFor = (long) x);
+            (s, x) -> s.endpointWarmUpMicros = (long) x);
         part("endpoint.falls_at", 2, 0, 1_000,
             "Offered so many times what it bears while cold it falls over; 0 for never.",
-            (s, x) -> s.fallMultiple = x);
+            (s, x) -> s.collapseMultiple = x);
         span("endpoint.falls_for", 2 * S, 0, 3_600 * S, "How long it then refuses.",
-            (s, x) -> s.fallFor = (long) x);
-        span("network.delay", 1 * MS, 1, 10 * S, "One way.", (s, x) -> s.delay = (long) x);
-        part("network.spread", 0.2, 0, 3, "Sigma of its logarithm.", (s, x) -> s.delaySpread = x);
-        part("network.loss", 0, 0, 1, "Part of the answers that get lost.", (s, x) -> s.loss = x);
+            (s, x) -> s.collapseMicros = (long) x);
+        span("network.delay", 1 * MS, 1, 10 * S, "One way.", (s, x) -> s.networkDelayMicros = (long) x);
+        part("network.spread", 0.2, 0, 3, "Sigma of its logarithm.", (s, x) -> s.networkDelaySigma = x);
+        part("network.loss", 0, 0, 1, "Part of the answers that get lost.",
+            (s, x) -> s.answerLossProbability = x);
         span("network.handshake", 2 * MS, 0, 10 * S, "What a new connection costs beside the way.",
-            (s, x) -> s.handshake = (long) x);
+            (s, x) -> s.handshakeMicros = (long) x);
         span("network.connect_timeout", 1 * S, 1 * MS, 60 * S, "When a silent connect is given up.",
-            (s, x) -> s.connectTimeout = (long) x);
+            (s, x) -> s.connectTimeoutMicros = (long) x);
         span("network.idle", 10 * S, 1 * MS, 3_600 * S, "How long a connection may lie idle.",
-            (s, x) -> s.connectionIdle = (long) x);
+            (s, x) -> s.idleConnectionTimeoutMicros = (long) x);
         span("network.directory", 200 * MS, 0, 60 * S, "How late relays hear of a change.",
-            (s, x) -> s.directoryDelay = (long) x);
+            (s, x) -> s.directoryDelayMicros = (long) x);
     }
 
     // Of [[offering]] and [[trouble]]; their paths have no table.
@@ -191,30 +199,31 @@
                 setter.set(s, ((Number) values.value(key)).doubleValue());
             }
         }
-        List<Scenario.Offering> offerings = new ArrayList<>();
+        List<Scenario.MessageClass> offerings = new ArrayList<>();
         for (SettingValues o : values.tables("offering")) {
-            offerings.add(new Scenario.Offering(o.string(O_NAME), o.string(O_KIND), o.flag(O_ORDERED),
+            offerings.add(new Scenario.MessageClass(o.string(O_NAME), o.string(O_KIND), o.flag(O_ORDERED),
                 o.fraction(O_SHARE), o.fraction(O_REVENUE),
                 o.fraction(O_LATE), o.number(O_AGREED), o.number(O_EXPIRY), o.number(O_MEMORY)));
         }
         if (offerings.isEmpty()) {
             offerings
-                .add(new Scenario.Offering("status", "repeatable", false, 1, 1, 0.3, 1 * S, 8 * S, 10 * S));
+                .add(new Scenario.MessageClass("status", "repeatable", false, 1, 1, 0.3, 1 * S, 8 * S,
+                    10 * S));
         }
-        s.offerings = List.copyOf(offerings);
-        List<Scenario.Trouble> troubles = new ArrayList<>();
+        s.messageClasses = List.copyOf(offerings);
+        List<Scenario.Fault> troubles = new ArrayList<>();
         for (SettingValues t : values.tables("trouble")) {
             troubles.add(
-                new Scenario.Trouble(t.number(T_AT), t.number(T_FOR), t.string(T_WHAT), t.fraction(T_PART),
+                new Scenario.Fault(t.number(T_AT), t.number(T_FOR), t.string(T_WHAT), t.fraction(T_PART),
                     t.fraction(T_AMOUNT)));
         }
-        s.troubles = List.copyOf(troubles);
+        s.faults = List.copyOf(troubles);
         s.sweeps = values.freeNumbers();
         return s;
     }
 
     /** The scenario at one point of its sweeps. */
-    public Scenario at(Map<String, Double> point) {
+    public Scenario atPoint(Map<String, Double> point) {
         Scenario s = base();
         point.forEach((path, figure) -> SETTERS.get(path).set(s, figure));
         return s;
@@ -248,12 +257,12 @@
     }
 
     /** Whether a number of this name is a whole one. */
-    public static boolean isWhole(String path) {
+    public static boolean isInteger(String path) {
         return KEYS.stream().anyMatch(key -> key.path.equals(path) && key.type != ValueType.FRACTION);
     }
 
     /** The file that says this scenario at a point and with these troubles, without its sweeps. */
-    public String text(Map<String, Double> point, List<Scenario.Trouble> troubles) {
+    public String toToml(Map<String, Double> point, List<Scenario.Fault> troubles) {
         StringBuilder out = new StringBuilder();
         String table = "";
         for (Key key : KEYS) {
@@ -270,9 +279,10 @@
         for (SettingValues offering : values.tables("offering")) {
             entry(out, "offering", LISTS.get("offering"), offering::value);
         }
-        for (Scenario.Trouble t : troubles) {
-            Map<Key, Object> told = Map.of(T_WHAT, t.what(), T_AT, t.at(), T_FOR, t.length(), T_PART,
-                t.part(), T_AMOUNT, t.amount());
+        for (Scenario.Fault t : troubles) {
+            Map<Key, Object> told = Map.of(T_WHAT, t.type(), T_AT, t.startMicros(), T_FOR, t.durationMicros(),
+                T_PART,
+                t.share(), T_AMOUNT, t.amount());
             entry(out, "trouble", LISTS.get("trouble"), told::get);
         }
         return out.toString();
--- a/lab/src/main/java/yewpath/lab/world/Crowd.java
+++ b/lab/src/main/java/yewpath/lab/world/Crowd.java
@@ -1,8 +1,8 @@
 package yewpath.lab.world;
 
 import org.HdrHistogram.Histogram;
-import yewpath.lab.core.Calendar;
-import yewpath.lab.core.Chance;
+import yewpath.lab.core.EventCalendar;
+import yewpath.lab.core.RandomStream;
 import yewpath.lab.referee.Referee;
 import yewpath.lab.scenario.Scenario;
 
@@ -12,7 +12,7 @@
     public static final class Wish {
         final int intent;
         final int offeringIndex;
-        final Scenario.Offering offering;
+        final Scenario.MessageClass offering;
         final int destination;
         final int key;
         final long bornAt;
@@ -20,7 +20,7 @@
         int handIns;
         boolean over;
 
-        Wish(int intent, int offeringIndex, Scenario.Offering offering, int destination, int key,
+        Wish(int intent, int offeringIndex, Scenario.MessageClass offering, int destination, int key,
             long bornAt) {
             this.intent = intent;
             this.offeringIndex = offeringIndex;
@@ -28,19 +28,19 @@
             this.destination = destination;
             this.key = key;
             this.bornAt = bornAt;
-            expiry = bornAt + offering.expiry();
+            expiry = bornAt + offering.timeToLiveMicros();
         }
     }
 
     private static final long PATIENCE = 400_000;
     private final World world;
     private final Scenario s;
-    private final Calendar calendar;
+    private final EventCalendar calendar;
     private final Referee referee;
-    private final Chance arrivals;
-    private final Chance choices;
-    private final Chance clients;
-    private final Chance front;
+    private final RandomStream arrivals;
+    private final RandomStream choices;
+    private final RandomStream clients;
+    private final RandomStream front;
     /** Cumulated weights of destinations. */
     private final double[] popular;
     private final double[] shares;
@@ -72,39 +72,43 @@
         choices = world.chance("choices");
         clients = world.chance("clients");
         front = world.chance("front");
-        popular = new double[s.destinations];
+        popular = new double[s.destinationCount];
         double sum = 0;
         for (int i = 0; i < popular.length; i++) {
-            sum += 1 / StrictMath.pow(i + 1, s.popularity);
+            sum += 1 / StrictMath.pow(i + 1, s.zipfExponent);
             popular[i] = sum;
         }
-        shares = new double[s.offerings.size()];
+        shares = new double[s.messageClasses.size()];
         sum = 0;
         for (int i = 0; i < shares.length; i++) {
-            sum += s.offerings.get(i).share();
+            sum += s.messageClasses.get(i).share();
             shares[i] = sum;
         }
     }
 
     void begin() {
-        if (s.rate > 0) {
-            calendar.in((long) arrivals.exponential(1e6 * s.clump / s.rate), this::arrive);
+        if (s.requestsPerSecond > 0) {
+            calendar.scheduleAfter(
+                (long) arrivals.exponential(1e6 * s.meanArrivalBatchSize / s.requestsPerSecond),
+                this::arrive);
         }
     }
 
     private void arrive() {
-        if (calendar.now() >= s.length) {
+        if (calendar.nowMicros() >= s.lengthMicros) {
             return;
         }
         // Compound Poisson: clumps whose sizes are geometric about their mean.
         int size = 1;
-        while (s.clump > 1 && arrivals.uniform() < 1 - 1 / s.clump) {
+        while (s.meanArrivalBatchSize > 1 && arrivals.uniform() < 1 - 1 / s.meanArrivalBatchSize) {
             size++;
         }
         for (int i = 0; i < size; i++) {
             wish();
         }
-        calendar.in((long) arrivals.exponential(1e6 * s.clump / (s.rate * burst)), this::arrive);
+        calendar.scheduleAfter(
+            (long) arrivals.exponential(1e6 * s.meanArrivalBatchSize / (s.requestsPerSecond * burst)),
+            this::arrive);
     }
 
     private static int pick(double[] cumulated, double uniform) {
@@ -115,9 +119,10 @@
     private void wish() {
         int offering = pick(shares, choices.uniform());
         int destination = pick(popular, choices.uniform());
-        int key = s.keys > 0 ? destination * s.keys + choices.below(s.keys) : -1;
-        Wish wish = new Wish(intents++, offering, s.offerings.get(offering), destination, key,
-            calendar.now());
+        int key = s.keysPerDestination > 0
+            ? destination * s.keysPerDestination + choices.nextInt(s.keysPerDestination) : -1;
+        Wish wish = new Wish(intents++, offering, s.messageClasses.get(offering), destination, key,
+            calendar.nowMicros());
         if (counts(wish)) {
             wishes++;
             possible += wish.offering.revenue();
@@ -126,7 +131,7 @@
     }
 
     private boolean counts(Wish wish) {
-        return wish.bornAt >= s.warm;
+        return wish.bornAt >= s.runWarmUpMicros;
     }
 
     private void handIn(Wish wish) {
@@ -134,13 +139,14 @@
         Envelope e = new Envelope(envelopes++, wish);
         wish.handIns++;
         handIns++;
-        referee.handedIn(calendar.now(), e.index, e.intent, World.kind(wish.offering.kind()), e.expiry,
-            wish.offering.memory());
-        calendar.in(world.trip(), () -> {
+        referee.submitted(calendar.nowMicros(), e.index, e.intent, World.kind(wish.offering.semantics()),
+            e.expiry,
+            wish.offering.deduplicationMicros());
+        calendar.scheduleAfter(world.trip(), () -> {
             if (relay.isUp()) {
                 relay.handIn(e);
             } else {
-                calendar.in(PATIENCE, () -> unanswered(e));
+                calendar.scheduleAfter(PATIENCE, () -> unanswered(e));
             }
         });
     }
@@ -151,9 +157,9 @@
     }
 
     public void refused(Envelope e, long pause) {
-        referee.deferred(calendar.now(), e.index);
+        referee.rejected(calendar.nowMicros(), e.index);
         refusals++;
-        calendar.in(world.trip(), () -> again(e.wish, pause));
+        calendar.scheduleAfter(world.trip(), () -> again(e.wish, pause));
     }
 
     public void fulfilled(Envelope e) {
@@ -166,25 +172,25 @@
         if (!counts(wish)) {
             return;
         }
-        long took = calendar.now() - wish.bornAt;
+        long took = calendar.nowMicros() - wish.bornAt;
         fulfilled++;
         delays.recordValue(Math.max(1, Math.min(took, 3_600_000_000L)));
-        boolean inTime = took <= wish.offering.agreed();
+        boolean inTime = took <= wish.offering.onTimeMicros();
         inAgreedTime += inTime ? 1 : 0;
         revenue += wish.offering.revenue() * (inTime ? 1 : late(wish, took));
     }
 
     /** Worth falls evenly from all to the late part between the agreed time and the expiry. */
     private static double late(Wish wish, long took) {
-        double part = (took - wish.offering.agreed())
-            / (double) Math.max(1, wish.offering.expiry() - wish.offering.agreed());
-        return 1 - (1 - wish.offering.lateRevenue()) * Math.min(1, part);
+        double part = (took - wish.offering.onTimeMicros())
+            / (double) Math.max(1, wish.offering.timeToLiveMicros() - wish.offering.onTimeMicros());
+        return 1 - (1 - wish.offering.lateRevenueShare()) * Math.min(1, part);
     }
 
     public void ended(Envelope e, boolean handedBack, long pause) {
         if (handedBack) {
             deferrals++;
-            calendar.in(world.trip(), () -> again(e.wish, pause));
+            calendar.scheduleAfter(world.trip(), () -> again(e.wish, pause));
         } else {
             fail(e.wish);
         }
@@ -192,21 +198,21 @@
 
     /** The platform tells clients that their relay's machine has gone with what it held. */
     public void lostWithItsRelay(Envelope e) {
-        if (e.offering.kind().equals("once-only") && e.shots > 0) {
+        if (e.offering.semantics().equals("once-only") && e.shots > 0) {
             fail(e.wish);
         } else {
-            calendar.in(1_000_000, () -> again(e.wish, 0));
+            calendar.scheduleAfter(1_000_000, () -> again(e.wish, 0));
         }
     }
 
     private void again(Wish wish, long told) {
-        long own = (long) (s.clientPause * (0.5 + clients.uniform()));
-        long pause = s.clientsHeed ? Math.max(told, own) : own;
-        if (wish.over || wish.handIns > s.clientRetries || calendar.now() + pause >= wish.expiry) {
+        long own = (long) (s.clientRetryDelayMicros * (0.5 + clients.uniform()));
+        long pause = s.clientsHonorRetryAfter ? Math.max(told, own) : own;
+        if (wish.over || wish.handIns > s.maxClientRetries || calendar.nowMicros() + pause >= wish.expiry) {
             fail(wish);
             return;
         }
-        calendar.in(pause, () -> {
+        calendar.scheduleAfter(pause, () -> {
             if (!wish.over) {
                 handIn(wish);
             }
--- a/lab/src/main/java/yewpath/lab/world/Envelope.java
+++ b/lab/src/main/java/yewpath/lab/world/Envelope.java
@@ -7,7 +7,7 @@
     public final int index;
     final int intent;
     final int offeringIndex;
-    public final Scenario.Offering offering;
+    public final Scenario.MessageClass offering;
     public final int destination;
     public final int key;
     final long bornAt;
--- a/lab/src/main/java/yewpath/lab/world/Place.java
+++ b/lab/src/main/java/yewpath/lab/world/Place.java
@@ -22,41 +22,41 @@
     }
 
     private double burst() {
-        return Math.max(1, s.limit / 10);
+        return Math.max(1, s.callsPerSecondLimit / 10);
     }
 
     double limit() {
-        return s.limit * limitFactor;
+        return s.callsPerSecondLimit * limitFactor;
     }
 
     /** Whether a call that arrives now is within the limit. */
     boolean admits(long now) {
-        if (s.limit <= 0) {
+        if (s.callsPerSecondLimit <= 0) {
             return true;
         }
-        if (s.limitBySpan) {
+        if (s.fixedWindowLimit) {
             if (now - spanAt >= SPAN) {
                 spanAt = now - now % SPAN;
                 inSpan = 0;
             }
             boolean admitted = inSpan < limit();
-            inSpan += admitted || s.refusedCount ? 1 : 0;
+            inSpan += admitted || s.rejectedCallsCount ? 1 : 0;
             return admitted;
         }
         tokens = Math.min(burst(), tokens + (now - tokensAt) * limit() / 1e6);
         tokensAt = now;
         boolean admitted = tokens >= 1;
         // Where refused calls count they push the bucket below empty, up to one burst.
-        tokens -= admitted ? 1 : s.refusedCount ? Math.min(1, Math.max(0, tokens + burst())) : 0;
+        tokens -= admitted ? 1 : s.rejectedCallsCount ? Math.min(1, Math.max(0, tokens + burst())) : 0;
         return admitted;
     }
 
     /** Part of a second's limit that is free now. */
     double free(long now) {
-        if (s.limit <= 0) {
+        if (s.callsPerSecondLimit <= 0) {
             return Double.POSITIVE_INFINITY;
         }
-        if (s.limitBySpan) {
+        if (s.fixedWindowLimit) {
             return now - spanAt >= SPAN ? limit() : limit() - inSpan;
         }
         return Math.min(burst(), tokens + (now - tokensAt) * limit() / 1e6);
--- a/lab/src/main/java/yewpath/lab/world/RelayHost.java
+++ b/lab/src/main/java/yewpath/lab/world/RelayHost.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 import yewpath.PolicyActions;
-import yewpath.lab.core.Calendar;
+import yewpath.lab.core.EventCalendar;
 import yewpath.lab.policy.Policies;
 import yewpath.lab.policy.Policy;
 import yewpath.lab.referee.Referee;
@@ -15,7 +15,7 @@
 final class RelayHost implements PolicyActions, Host, Answerer {
     private final World world;
     private final Scenario s;
-    private final Calendar calendar;
+    private final EventCalendar calendar;
     private final Referee referee;
     private final int index;
     private Policy policy;
@@ -52,7 +52,7 @@
     private void begin() {
         policy = Policies.make(world.policyName,
             new Policies.Given(world.settings(index), world.seed ^ 31L * index + life, this,
-                world.chance("policy " + index + ' ' + life), calendar.now(),
+                world.chance("policy " + index + ' ' + life), calendar.nowMicros(),
                 endpoint -> world.stations[endpoint].free()));
         list(true, false);
     }
@@ -61,7 +61,7 @@
 
     private void event(Runnable act) {
         long begun = System.nanoTime();
-        policy.at(calendar.now());
+        policy.at(calendar.nowMicros());
         act.run();
         decideNanos += System.nanoTime() - begun;
         ask();
@@ -71,7 +71,7 @@
         if (!turnAsked) {
             turnAsked = true;
             int mine = life;
-            calendar.in(0, () -> {
+            calendar.scheduleAfter(0, () -> {
                 if (mine == life) {
                     turn();
                 }
@@ -82,7 +82,7 @@
     private void turn() {
         turnAsked = false;
         long begun = System.nanoTime();
-        policy.at(calendar.now());
+        policy.at(calendar.nowMicros());
         policy.turn();
         decideNanos += System.nanoTime() - begun;
         // What an act asks in turn waits for the next round.
@@ -127,11 +127,11 @@
     /** Whether it is taken on; where not, the client is told when to return. */
     @Override
     public void handIn(Envelope e) {
-        if (open >= s.hold) {
+        if (open >= s.maxOpenMessages) {
             world.crowd.refused(e, 1_000_000);
             return;
         }
-        referee.taken(calendar.now(), e.index, index);
+        referee.accepted(calendar.nowMicros(), e.index, index);
         hold(e);
     }
 
@@ -160,7 +160,7 @@
                 if (whole || one.draining || told) {
                     policy.listed(one.index, 0, 0, one.place.index, one.draining ? 1 : 0, world.listedRate(),
                         0);
-                    referee.listed(calendar.now(), index, one.index, !one.draining);
+                    referee.endpointListed(calendar.nowMicros(), index, one.index, !one.draining);
                 }
             }
             policy.listEnds();
@@ -172,7 +172,7 @@
         if (!up) {
             return;
         }
-        referee.listed(calendar.now(), index, one.index, !one.draining);
+        referee.endpointListed(calendar.nowMicros(), index, one.index, !one.draining);
         if (one.draining) {
             // Calls whose connection is still to come up would leave long after that was told.
             for (int local = 0; local < used; local++) {
@@ -194,7 +194,7 @@
     @Override
     public void send(int envelope, int endpoint, long withinMicros, long leaveBy) {
         Envelope e = held[envelope];
-        Shot shot = new Shot(e, world.stations[endpoint], this, envelope, e.shots++, calendar.now());
+        Shot shot = new Shot(e, world.stations[endpoint], this, envelope, e.shots++, calendar.nowMicros());
         shotsOut[envelope]++;
         out[envelope] = shot;
         shot.sets();
@@ -206,12 +206,12 @@
     }
 
     private void leave(Shot shot, long withinMicros) {
-        long now = calendar.now();
+        long now = calendar.nowMicros();
         long ends = withinMicros > 0 ? Math.min(shot.envelope.expiry, now + withinMicros)
             : shot.envelope.expiry;
         int at = shot.to.index;
-        shot.within = calendar.timer(ends - now, () -> giveUp(shot, TIMEOUT));
-        if (idle[at] > 0 && now - idleSince[at] < s.connectionIdle) {
+        shot.within = calendar.startTimer(ends - now, () -> giveUp(shot, TIMEOUT));
+        if (idle[at] > 0 && now - idleSince[at] < s.idleConnectionTimeoutMicros) {
             idle[at]--;
             write(shot);
             return;
@@ -219,17 +219,17 @@
         idle[at] = 0;
         int mine = life;
         long trip = world.trip();
-        calendar.in(trip, () -> {
+        calendar.scheduleAfter(trip, () -> {
             int connects = world.parted(index, shot.to) ? 2 : shot.to.connects();
             if (connects == 2) {
-                calendar.in(Math.max(0, s.connectTimeout - trip), () -> {
+                calendar.scheduleAfter(Math.max(0, s.connectTimeoutMicros - trip), () -> {
                     if (mine == life) {
                         settle(shot, UNREACHABLE, 0);
                     }
                 });
                 return;
             }
-            calendar.in(world.trip() + (connects == 0 ? s.handshake : 0), () -> {
+            calendar.scheduleAfter(world.trip() + (connects == 0 ? s.handshakeMicros : 0), () -> {
                 if (mine != life || shot.settled) {
                     return;
                 }
@@ -244,9 +244,9 @@
 
     private void write(Shot shot) {
         shot.left = true;
-        referee.sent(calendar.now(), shot.envelope.index, index, shot.to.index, key(shot.envelope));
+        referee.callSent(calendar.nowMicros(), shot.envelope.index, index, shot.to.index, key(shot.envelope));
         if (!world.parted(index, shot.to)) {
-            calendar.in(world.trip(), () -> {
+            calendar.scheduleAfter(world.trip(), () -> {
                 if (!shot.abandoned) {
                     shot.to.arrives(shot);
                 }
@@ -264,11 +264,11 @@
         if (world.parted(index, shot.to) || world.lost()) {
             return;
         }
-        long written = calendar.now();
-        calendar.in(world.trip(), () -> {
+        long written = calendar.nowMicros();
+        calendar.scheduleAfter(world.trip(), () -> {
             if (pause > 0 && !shot.settled) {
                 // Told only if it is read: not where it is lost, nor on a connection that is closed already.
-                referee.waitTold(written, shot.to.route(shot), pause);
+                referee.waitAdvertised(written, shot.to.route(shot), pause);
             }
             settle(shot, outcome, pause);
         });
@@ -287,7 +287,7 @@
         if (!shot.arrived) {
             shot.abandoned = true;
         }
-        calendar.in(world.trip(), () -> shot.to.abandoned(shot));
+        calendar.scheduleAfter(world.trip(), () -> shot.to.abandoned(shot));
     }
 
     private void settle(Shot shot, int outcome, long pause) {
@@ -297,7 +297,7 @@
         shot.settled = true;
         shot.lands();
         if (shot.within != null) {
-            shot.within.callOff();
+            shot.within.cancel();
         }
         if (!up) {
             return;
@@ -308,19 +308,19 @@
         boolean delivered = outcome == DELIVERED;
         if (delivered || outcome == ERROR || outcome == OVERLOADED) {
             idle[shot.to.index]++;
-            idleSince[shot.to.index] = calendar.now();
+            idleSince[shot.to.index] = calendar.nowMicros();
         }
-        referee.back(e.index, index, key(e));
+        referee.outcomeReceived(e.index, index, key(e));
         if (outcome == ERROR || outcome == TIMEOUT || outcome == CONNECTION_LOST || outcome == CANCELLED) {
-            e.doubtSince = e.doubtSince < 0 ? calendar.now() : e.doubtSince;
+            e.doubtSince = e.doubtSince < 0 ? calendar.nowMicros() : e.doubtSince;
         }
         if (delivered && !over[local]) {
-            referee.fulfilled(calendar.now(), e.index);
+            referee.delivered(calendar.nowMicros(), e.index);
             world.crowd.fulfilled(e);
         }
         boolean isOver = delivered || over[local];
         event(() -> policy.settled(local, isOver, shot.number, shot.to.index, outcome, pause,
-            calendar.now() - shot.sentAt,
+            calendar.nowMicros() - shot.sentAt,
             Double.NaN, Double.NaN));
         shotsOut[local]--;
         if (delivered) {
@@ -379,9 +379,9 @@
         open--;
         over[local] = true;
         if (handedBack) {
-            referee.deferred(calendar.now(), e.index);
+            referee.rejected(calendar.nowMicros(), e.index);
         } else {
-            referee.aborted(calendar.now(), e.index);
+            referee.failed(calendar.nowMicros(), e.index);
         }
         acts.add(() -> {
             world.crowd.ended(e, handedBack, pause);
@@ -393,7 +393,7 @@
     @Override
     public void setAlarm(long inMicros) {
         int mine = life;
-        calendar.in(inMicros, () -> {
+        calendar.scheduleAfter(inMicros, () -> {
             if (mine == life && up) {
                 event(policy::due);
             }
@@ -403,7 +403,7 @@
     @Override
     public void requestEndpointList(boolean follow) {
         int mine = life;
-        calendar.in(s.directoryDelay, () -> {
+        calendar.scheduleAfter(s.directoryDelayMicros, () -> {
             if (mine == life && up) {
                 list(true, true);
             }
@@ -420,7 +420,7 @@
         List<Envelope> left = new ArrayList<>();
         up = false;
         life++;
-        referee.died(index);
+        referee.relayStopped(index);
         for (int local = 0; local < used; local++) {
             Envelope e = held[local];
             Shot shot = out[local];
@@ -428,10 +428,10 @@
                 shot.settled = true;
                 shot.lands();
                 if (shot.within != null) {
-                    shot.within.callOff();
+                    shot.within.cancel();
                 }
                 if (shot.left && e.doubtSince < 0) {
-                    e.doubtSince = calendar.now();
+                    e.doubtSince = calendar.nowMicros();
                 }
                 close(shot);
             }
@@ -439,7 +439,7 @@
                 if (withLedger) {
                     left.add(e);
                 } else {
-                    referee.excused(e.index);
+                    referee.lossExcused(e.index);
                     world.crowd.lostWithItsRelay(e);
                 }
             }
@@ -460,7 +460,7 @@
         up = true;
         begin();
         for (Envelope e : ledger) {
-            referee.restored(calendar.now(), e.index, index);
+            referee.restored(calendar.nowMicros(), e.index, index);
             hold(e);
         }
         ledger = List.of();
--- a/lab/src/main/java/yewpath/lab/world/Shot.java
+++ b/lab/src/main/java/yewpath/lab/world/Shot.java
@@ -1,6 +1,6 @@
 package yewpath.lab.world;
 
-import yewpath.lab.core.Calendar;
+import yewpath.lab.core.EventCalendar;
 
 /** One call on its way, at its endpoint, or on its way back. */
 public final class Shot {
@@ -10,7 +10,7 @@
     final int local;
     final int number;
     final long sentAt;
-    Calendar.Entry within;
+    EventCalendar.Timer within;
     /** Whether its last byte has left the relay, and whether the endpoint has had it. */
     boolean left;
     boolean arrived;
--- a/lab/src/main/java/yewpath/lab/world/Station.java
+++ b/lab/src/main/java/yewpath/lab/world/Station.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import yewpath.PolicyActions;
-import yewpath.lab.core.Calendar;
-import yewpath.lab.core.Chance;
+import yewpath.lab.core.EventCalendar;
+import yewpath.lab.core.RandomStream;
 import yewpath.lab.referee.Referee;
 import yewpath.lab.scenario.Scenario;
 
@@ -14,10 +14,10 @@
     public final int index;
     final Place place;
     private final Scenario s;
-    private final Calendar calendar;
+    private final EventCalendar calendar;
     private final Referee referee;
-    private final Chance service;
-    private final Chance faults;
+    private final RandomStream service;
+    private final RandomStream faults;
     private final ArrayDeque<Shot> waiting = new ArrayDeque<>();
     /** Tagged envelopes it knows, by intent, and since when. */
     private final Map<Integer, Long> remembered = new HashMap<>();
@@ -37,8 +37,8 @@
     private int inSecond;
     long falls;
 
-    Station(int index, Place place, Scenario s, Calendar calendar, Referee referee, Chance service,
-        Chance faults) {
+    Station(int index, Place place, Scenario s, EventCalendar calendar, Referee referee, RandomStream service,
+        RandomStream faults) {
         this.index = index;
         this.place = place;
         this.s = s;
@@ -50,7 +50,7 @@
 
     /** Back from an outage, with nothing of what it had in hand. */
     void comesBackCold() {
-        coldSince = s.coldFor > 0 ? calendar.now() : -1;
+        coldSince = s.endpointWarmUpMicros > 0 ? calendar.nowMicros() : -1;
         drop();
     }
 
@@ -58,16 +58,17 @@
         if (coldSince < 0) {
             return 1;
         }
-        long since = calendar.now() - coldSince;
-        if (since >= s.coldFor) {
+        long since = calendar.nowMicros() - coldSince;
+        if (since >= s.endpointWarmUpMicros) {
             coldSince = -1;
             return 1;
         }
-        return s.coldFrom + (1 - s.coldFrom) * since / s.coldFor;
+        return s.endpointWarmUpInitialShare
+            + (1 - s.endpointWarmUpInitialShare) * since / s.endpointWarmUpMicros;
     }
 
     private int servers() {
-        return Math.max(1, (int) Math.round(s.capacity * warmth()));
+        return Math.max(1, (int) Math.round(s.endpointCapacity * warmth()));
     }
 
     int serving() {
@@ -88,11 +89,11 @@
 
     /** True free room: servers, and part of the limit. */
     double free() {
-        if (silent || refusing || vanished || draining || calendar.now() < fallenUntil) {
+        if (silent || refusing || vanished || draining || calendar.nowMicros() < fallenUntil) {
             return 0;
         }
         return Math.min(servers() - busy - waiting.size() - coming,
-            place.free(calendar.now()) - place.coming);
+            place.free(calendar.nowMicros()) - place.coming);
     }
 
     /** Whether a connection can be made: 0 yes, 1 refused at once, 2 no word. */
@@ -101,7 +102,7 @@
     }
 
     public void arrives(Shot shot) {
-        long now = calendar.now();
+        long now = calendar.nowMicros();
         shot.lands();
         if (vanished || refusing) {
             if (refusing) {
@@ -110,7 +111,7 @@
             return;
         }
         shot.arrived = true;
-        referee.arrived(now, shot.envelope.index, index, route(shot));
+        referee.callArrived(now, shot.envelope.index, index, route(shot));
         if (now < fallenUntil) {
             refuse(shot, 0);
             return;
@@ -122,18 +123,19 @@
         inSecond++;
         double warm = warmth();
         // Offered a multiple of what it bears while cold: caches empty and queues full, it goes down once more.
-        if (warm < 1 && s.fallMultiple > 0
-            && inSecond > Math.max(4, s.fallMultiple * warm * s.capacity * 1e6 / s.service)) {
+        if (warm < 1 && s.collapseMultiple > 0
+            && inSecond > Math.max(4,
+                s.collapseMultiple * warm * s.endpointCapacity * 1e6 / s.meanServiceMicros)) {
             falls++;
-            referee.pushedOver(now, shot.envelope.index, index);
-            fallenUntil = now + s.fallFor;
-            calendar.at(fallenUntil, this::comesBackCold);
+            referee.endpointCollapsed(now, shot.envelope.index, index);
+            fallenUntil = now + s.collapseMicros;
+            calendar.scheduleAt(fallenUntil, this::comesBackCold);
             refuse(shot, 0);
             drop();
             return;
         }
         if (!place.admits(now)) {
-            refuse(shot, s.limitWait);
+            refuse(shot, s.limitRetryAfterMicros);
             return;
         }
         if (silent) {
@@ -142,7 +144,7 @@
         }
         if (busy < servers()) {
             begin(shot);
-        } else if (waiting.size() < s.queue) {
+        } else if (waiting.size() < s.endpointQueueCapacity) {
             waiting.add(shot);
         } else {
             refuse(shot, 0);
@@ -162,8 +164,8 @@
     private void begin(Shot shot) {
         busy++;
         shot.inService = true;
-        long takes = Math.max(1, Math.round(service.logNormal(s.service * slow, s.serviceSpread)));
-        calendar.in(takes, () -> finish(shot));
+        long takes = Math.max(1, Math.round(service.logNormal(s.meanServiceMicros * slow, s.serviceSigma)));
+        calendar.scheduleAfter(takes, () -> finish(shot));
     }
 
     private void finish(Shot shot) {
@@ -173,8 +175,8 @@
         shot.inService = false;
         busy--;
         runs(shot);
-        int outcome = faults.is(errors) ? PolicyActions.ERROR
-            : faults.is(resets) ? PolicyActions.CONNECTION_LOST : PolicyActions.DELIVERED;
+        int outcome = faults.nextBoolean(errors) ? PolicyActions.ERROR
+            : faults.nextBoolean(resets) ? PolicyActions.CONNECTION_LOST : PolicyActions.DELIVERED;
         boolean hung = silent;
         if (!hung) {
             over(shot);
@@ -194,21 +196,21 @@
 
     private void runs(Shot shot) {
         Envelope e = shot.envelope;
-        if (e.offering.kind().equals("tagged")) {
+        if (e.offering.semantics().equals("tagged")) {
             Long known = remembered.get(e.intent);
-            if (known != null && calendar.now() < known + e.offering.memory()) {
+            if (known != null && calendar.nowMicros() < known + e.offering.deduplicationMicros()) {
                 // Known: answered as delivered once more, without a second effect.
                 return;
             }
-            remembered.put(e.intent, calendar.now());
+            remembered.put(e.intent, calendar.nowMicros());
         }
-        referee.ran(calendar.now(), e.index, index);
+        referee.executed(calendar.nowMicros(), e.index, index);
     }
 
     private void over(Shot shot) {
         if (shot.arrived && !shot.known) {
             shot.known = true;
-            referee.callOver(calendar.now(), shot.envelope.index, index);
+            referee.callEnded(calendar.nowMicros(), shot.envelope.index, index);
         }
     }
 
--- a/lab/src/main/java/yewpath/lab/world/World.java
+++ b/lab/src/main/java/yewpath/lab/world/World.java
@@ -2,8 +2,8 @@
 
 import org.HdrHistogram.Histogram;
 import yewpath.PolicySettings;
-import yewpath.lab.core.Calendar;
-import yewpath.lab.core.Chance;
+import yewpath.lab.core.EventCalendar;
+import yewpath.lab.core.RandomStream;
 import yewpath.lab.referee.Referee;
 import yewpath.lab.scenario.Scenario;
 
@@ -28,7 +28,7 @@
     public final Scenario s;
     final String policyName;
     final long seed;
-    public final Calendar calendar = new Calendar();
+    public final EventCalendar calendar = new EventCalendar();
     public final Referee referee;
     public final Station[] stations;
     public final Crowd crowd;
@@ -36,9 +36,9 @@
     private final Host[] relays;
     /** Which relays the front takes to be up. */
     private final boolean[] fronted;
-    private final Chance network;
-    private final Chance losses;
-    private final Chance troubles;
+    private final RandomStream network;
+    private final RandomStream losses;
+    private final RandomStream troubles;
     private boolean[] cut;
     private final java.util.List<Moment> series = new java.util.ArrayList<>();
 
@@ -60,38 +60,39 @@
         network = chance("network");
         losses = chance("losses");
         troubles = chance("troubles");
-        places = new Place[s.destinations];
-        stations = new Station[s.destinations * s.endpointsEach];
+        places = new Place[s.destinationCount];
+        stations = new Station[s.destinationCount * s.endpointsPerDestination];
         for (int i = 0; i < places.length; i++) {
             places[i] = new Place(i, s);
         }
-        Chance faults = chance("faults");
-        Chance service = chance("service");
+        RandomStream faults = chance("faults");
+        RandomStream service = chance("service");
         for (int i = 0; i < stations.length; i++) {
-            stations[i] = new Station(i, places[i / s.endpointsEach], s, calendar, referee, service, faults);
+            stations[i] = new Station(i, places[i / s.endpointsPerDestination], s, calendar, referee, service,
+                faults);
         }
         cut = new boolean[stations.length];
         crowd = new Crowd(this);
-        relays = new Host[s.relays];
-        fronted = new boolean[s.relays];
+        relays = new Host[s.relayCount];
+        fronted = new boolean[s.relayCount];
         for (int i = 0; i < relays.length; i++) {
             relays[i] = maker.make(this, i);
             fronted[i] = true;
         }
     }
 
-    Chance chance(String cause) {
-        return new Chance(seed, cause);
+    RandomStream chance(String cause) {
+        return new RandomStream(seed, cause);
     }
 
-    static Referee.Kind kind(String word) {
-        return Referee.Kind.valueOf(word.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
+    static Referee.DeliverySemantics kind(String word) {
+        return Referee.DeliverySemantics.ofWord(word);
     }
 
-    /** Plays the run. A broken rule in a strict scenario ends it by {@link Referee.Broken}. */
+    /** Plays the run. A broken rule in a strict scenario ends it by {@link Referee.RuleViolation}. */
     public Outcome play() {
         begin();
-        calendar.playTo(end());
+        calendar.runUntil(end());
         return close();
     }
 
@@ -99,23 +100,23 @@
     public void begin() {
         crowd.begin();
         look(0, 0, 0);
-        for (Scenario.Trouble trouble : s.troubles) {
-            calendar.at(trouble.at(), () -> begin(trouble));
+        for (Scenario.Fault trouble : s.faults) {
+            calendar.scheduleAt(trouble.startMicros(), () -> begin(trouble));
         }
     }
 
     /** When all that was handed in has come to its end. */
     public long end() {
         long longest = 0;
-        for (Scenario.Offering offering : s.offerings) {
-            longest = Math.max(longest, offering.expiry());
+        for (Scenario.MessageClass offering : s.messageClasses) {
+            longest = Math.max(longest, offering.timeToLiveMicros());
         }
-        return s.length + longest + AFTER;
+        return s.lengthMicros + longest + AFTER;
     }
 
     /** Closes the books and tells what the run came to. */
     public Outcome close() {
-        referee.close(calendar.now(), crowd.envelopes());
+        referee.checkLost(calendar.nowMicros(), crowd.envelopes());
         long falls = 0;
         for (Station one : stations) {
             falls += one.falls;
@@ -128,12 +129,13 @@
         return new Outcome(crowd.possible == 0 ? 1 : crowd.revenue / crowd.possible, crowd.fulfilled / wishes,
             crowd.inAgreedTime / wishes, crowd.failed / wishes, crowd.wishes, crowd.handIns, crowd.refusals,
             crowd.deferrals, falls,
-            referee.countAll(), calendar.played(), nanos / 1e3 / Math.max(1, crowd.envelopes()), crowd.delays,
-            referee.first(), java.util.List.copyOf(series));
+            referee.violationCount(), calendar.executedCount(), nanos / 1e3 / Math.max(1, crowd.envelopes()),
+            crowd.delays,
+            referee.firstViolations(), java.util.List.copyOf(series));
     }
 
     private void look(long wished, long fulfilled, long refused) {
-        calendar.in(Math.max(1, s.length / MOMENTS), () -> {
+        calendar.scheduleAfter(Math.max(1, s.lengthMicros / MOMENTS), () -> {
             int held = 0;
             for (Host relay : relays) {
                 held += relay.open();
@@ -145,10 +147,11 @@
                 waiting += one.waiting();
             }
             series
-                .add(new Moment(calendar.now(), crowd.wishesEver() - wished, crowd.fulfilledEver - fulfilled,
+                .add(new Moment(calendar.nowMicros(), crowd.wishesEver() - wished,
+                    crowd.fulfilledEver - fulfilled,
                     crowd.refusals + crowd.deferrals - refused, held, serving, waiting, relays[0].open(),
                     relays[0].callsOut()));
-            if (calendar.now() < s.length) {
+            if (calendar.nowMicros() < s.lengthMicros) {
                 look(crowd.wishesEver(), crowd.fulfilledEver, crowd.refusals + crowd.deferrals);
             }
         });
@@ -156,37 +159,37 @@
 
     // ---- Troubles
 
-    private void begin(Scenario.Trouble trouble) {
+    private void begin(Scenario.Fault trouble) {
         int first = 0;
-        switch (trouble.what()) {
+        switch (trouble.type()) {
             case "burst" -> {
                 crowd.burst *= trouble.amount();
-                calendar.in(trouble.length(), () -> crowd.burst /= trouble.amount());
+                calendar.scheduleAfter(trouble.durationMicros(), () -> crowd.burst /= trouble.amount());
             }
             case "relay-kill", "relay-lost" -> {
-                int count = Math.max(1, (int) Math.round(trouble.part() * relays.length));
-                first = troubles.below(relays.length);
+                int count = Math.max(1, (int) Math.round(trouble.share() * relays.length));
+                first = troubles.nextInt(relays.length);
                 for (int i = 0; i < count; i++) {
                     kill((first + i) % relays.length, trouble);
                 }
             }
             default -> {
-                int count = Math.max(1, (int) Math.round(trouble.part() * places.length));
-                first = troubles.below(places.length);
+                int count = Math.max(1, (int) Math.round(trouble.share() * places.length));
+                first = troubles.nextInt(places.length);
                 for (int i = 0; i < count; i++) {
                     int place = (first + i) % places.length;
-                    for (int j = 0; j < s.endpointsEach; j++) {
-                        Station one = stations[place * s.endpointsEach + j];
+                    for (int j = 0; j < s.endpointsPerDestination; j++) {
+                        Station one = stations[place * s.endpointsPerDestination + j];
                         turn(one, trouble, true);
-                        calendar.in(trouble.length(), () -> turn(one, trouble, false));
+                        calendar.scheduleAfter(trouble.durationMicros(), () -> turn(one, trouble, false));
                     }
                 }
             }
         }
     }
 
-    private void turn(Station one, Scenario.Trouble trouble, boolean on) {
-        switch (trouble.what()) {
+    private void turn(Station one, Scenario.Fault trouble, boolean on) {
+        switch (trouble.type()) {
             case "silent" -> one.silent = on;
             case "refuse" -> {
                 one.refusing = on;
@@ -209,25 +212,26 @@
             case "partition" -> cut[one.index] = on;
             case "drain" -> {
                 one.draining = on;
-                calendar.in(s.directoryDelay, () -> {
+                calendar.scheduleAfter(s.directoryDelayMicros, () -> {
                     for (Host relay : relays) {
                         relay.listed(one);
                     }
                 });
             }
-            default -> throw new IllegalArgumentException("unknown trouble " + trouble.what());
+            default -> throw new IllegalArgumentException("unknown trouble " + trouble.type());
         }
     }
 
-    private void kill(int which, Scenario.Trouble trouble) {
+    private void kill(int which, Scenario.Fault trouble) {
         Host relay = relays[which];
         if (!relay.isUp()) {
             return;
         }
-        relay.dies(trouble.what().equals("relay-kill"));
+        relay.dies(trouble.type().equals("relay-kill"));
         // The front notices after some seconds.
-        calendar.in(Math.min(trouble.length(), 2_000_000), () -> fronted[which] = relay.isUp());
-        calendar.in(trouble.length(), () -> {
+        calendar.scheduleAfter(Math.min(trouble.durationMicros(), 2_000_000),
+            () -> fronted[which] = relay.isUp());
+        calendar.scheduleAfter(trouble.durationMicros(), () -> {
             relay.returns();
             fronted[which] = true;
         });
@@ -235,8 +239,8 @@
 
     // ---- What relays and clients ask of the world
 
-    Host choose(Chance chance) {
-        int first = chance.below(relays.length);
+    Host choose(RandomStream chance) {
+        int first = chance.nextInt(relays.length);
         for (int i = 0; i < relays.length; i++) {
             int at = (first + i) % relays.length;
             if (fronted[at]) {
@@ -247,11 +251,11 @@
     }
 
     long trip() {
-        return Math.max(1, Math.round(network.logNormal(s.delay, s.delaySpread)));
+        return Math.max(1, Math.round(network.logNormal(s.networkDelayMicros, s.networkDelaySigma)));
     }
 
     boolean lost() {
-        return losses.is(s.loss);
+        return losses.nextBoolean(s.answerLossProbability);
     }
 
     boolean parted(int relay, Station from) {
@@ -260,32 +264,35 @@
 
     /** What discovery tells of an endpoint's rate. */
     public double listedRate() {
-        return s.limit > 0 ? s.limit : s.endpointsEach * s.capacity * 1e6 / s.service;
+        return s.callsPerSecondLimit > 0 ? s.callsPerSecondLimit
+            : s.endpointsPerDestination * s.endpointCapacity * 1e6 / s.meanServiceMicros;
     }
 
     PolicySettings settings(int self) {
         PolicySettings t = new PolicySettings();
-        t.relayCount = s.relays;
+        t.relayCount = s.relayCount;
         t.relayIndex = self;
-        t.maxConcurrentCalls = s.slots;
-        t.maxOpenMessages = s.hold;
-        t.maxAttempts = s.tries;
+        t.maxConcurrentCalls = s.maxConcurrentCalls;
+        t.maxOpenMessages = s.maxOpenMessages;
+        t.maxAttempts = s.maxAttempts;
         t.cancelAllowed = true;
         t.listReportsRate = true;
         t.reportsRetryAfter = true;
         t.maxRetryAfterMicros = 10_000_000;
-        t.warmUpInitialShare = s.coldFrom;
-        t.warmUpMicros = s.coldFor;
-        t.collapseMultiple = s.fallMultiple;
-        t.collapseWindowMicros = s.fallFor;
+        t.warmUpInitialShare = s.endpointWarmUpInitialShare;
+        t.warmUpMicros = s.endpointWarmUpMicros;
+        t.collapseMultiple = s.collapseMultiple;
+        t.collapseWindowMicros = s.collapseMicros;
         t.settleAfterUncertainMicros = SETTLE;
-        t.connectTimeoutMicros = s.connectTimeout;
-        t.idleConnectionTimeoutMicros = s.connectionIdle;
+        t.connectTimeoutMicros = s.connectTimeoutMicros;
+        t.idleConnectionTimeoutMicros = s.idleConnectionTimeoutMicros;
         t.limitPerEndpoint = new boolean[1];
         t.maxBatchSize = new int[]{1};
-        t.messageClasses = s.offerings.stream()
-            .map(o -> new PolicySettings.MessageClass(o.revenue(), o.lateRevenue(), o.agreed(), o.expiry(),
-                PolicySettings.DeliverySemantics.ofWord(o.kind()), false, o.memory(), o.ordered()))
+        t.messageClasses = s.messageClasses.stream()
+            .map(o -> new PolicySettings.MessageClass(o.revenue(), o.lateRevenueShare(), o.onTimeMicros(),
+                o.timeToLiveMicros(),
+                PolicySettings.DeliverySemantics.ofWord(o.semantics()), false, o.deduplicationMicros(),
+                o.ordered()))
             .toArray(PolicySettings.MessageClass[]::new);
         return t;
     }
--- a/lab/src/test/java/yewpath/lab/DecisionFleet.java
+++ b/lab/src/test/java/yewpath/lab/DecisionFleet.java
@@ -12,7 +12,7 @@
 import yewpath.DeliveryPolicy;
 import yewpath.PolicyActions;
 import yewpath.PolicySettings;
-import yewpath.lab.core.Calendar;
+import yewpath.lab.core.EventCalendar;
 
 /**
  * Relays before endpoints that fail in every way the decision module distinguishes, played from a seed. What counts is
@@ -64,7 +64,7 @@
     private final PolicySettings settings;
     private final Options options;
     private final SplittableRandom random;
-    private final Calendar calendar = new Calendar();
+    private final EventCalendar calendar = new EventCalendar();
     private final MessageDigest digest;
     private final Endpoint[] endpoints = new Endpoint[DESTINATIONS * ENDPOINTS_EACH];
     private final int[] taken = new int[DESTINATIONS];
@@ -91,10 +91,10 @@
 
     String play() {
         relays.forEach(relay -> relay.tellList(true));
-        calendar.at(STATE_FOR, this::changeStates);
-        calendar.at(SECOND, this::resetLimits);
+        calendar.scheduleAt(STATE_FOR, this::changeStates);
+        calendar.scheduleAt(SECOND, this::resetLimits);
         relays.forEach(this::handIn);
-        calendar.playTo(END);
+        calendar.runUntil(END);
         return HexFormat.of().formatHex(digest.digest());
     }
 
@@ -105,7 +105,7 @@
 
     private void resetLimits() {
         Arrays.fill(taken, 0);
-        calendar.in(SECOND, this::resetLimits);
+        calendar.scheduleAfter(SECOND, this::resetLimits);
     }
 
     /** Outages mostly take all endpoints of a destination; some drain and come back as others. */
@@ -119,12 +119,12 @@
             }
         }
         relays.forEach(relay -> relay.tellList(random.nextInt(3) == 0));
-        calendar.in(STATE_FOR, this::changeStates);
+        calendar.scheduleAfter(STATE_FOR, this::changeStates);
     }
 
     private void changeState(Endpoint endpoint, State next) {
         boolean wasOut = endpoint.state != State.WELL && endpoint.state != State.DROPS_IDLE;
-        endpoint.backAt = wasOut && next == State.WELL ? calendar.now() : endpoint.backAt;
+        endpoint.backAt = wasOut && next == State.WELL ? calendar.nowMicros() : endpoint.backAt;
         endpoint.state = next;
         int draw = random.nextInt(12);
         if (endpoint.phase == UP && draw == 0) {
@@ -138,7 +138,7 @@
 
     private void handIn(Relay relay) {
         double perSecond = options.load * Arrays.stream(limits).sum() / Math.max(1, options.relays);
-        calendar.in((long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond) + 1, () -> {
+        calendar.scheduleAfter((long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond) + 1, () -> {
             int clump = random.nextInt(20) == 0 ? 1 + random.nextInt(15) : 1;
             int destination = (int) (DESTINATIONS * Math.sqrt(random.nextDouble()));
             for (int i = 0; i < clump; i++) {
@@ -170,7 +170,8 @@
         }
 
         private void record(String action, long... values) {
-            String line = calendar.now() + " " + index + " " + action + " " + Arrays.toString(values) + "\n";
+            String line = calendar.nowMicros() + " " + index + " " + action + " " + Arrays.toString(values)
+                + "\n";
             digest.update(line.getBytes(StandardCharsets.US_ASCII));
         }
 
@@ -187,19 +188,19 @@
             boolean doubtful = restored && random.nextBoolean();
             attempts.set(message, restored ? 1 : 0);
             int key = settings.messageClasses[offering].ordered() ? random.nextInt(KEYS) : -1;
-            long now = calendar.now();
+            long now = calendar.nowMicros();
             logic.setTime(now);
             logic.messageAccepted(message, offering, 0, key, destination,
                 now + settings.messageClasses[offering].timeToLiveMicros(),
                 restored ? 1 : 0, doubtful ? now - 500 * MS : -1, random.nextInt(2));
             if (random.nextInt(100) == 0) {
-                calendar.in(100 * MS, () -> withdraw(message));
+                calendar.scheduleAfter(100 * MS, () -> withdraw(message));
             }
         }
 
         private void withdraw(int message) {
             if (open.get(message)) {
-                logic.setTime(calendar.now());
+                logic.setTime(calendar.nowMicros());
                 logic.messageWithdrawn(message);
                 open.set(message, false);
                 turn();
@@ -207,7 +208,7 @@
         }
 
         void tellList(boolean whole) {
-            logic.setTime(calendar.now());
+            logic.setTime(calendar.nowMicros());
             if (random.nextInt(6) == 0) {
                 logic.endpointListFailed();
                 turn();
@@ -228,7 +229,7 @@
         }
 
         void turn() {
-            logic.setTime(calendar.now());
+            logic.setTime(calendar.nowMicros());
             logic.completeRound(true);
             List<Send> now = List.copyOf(sends);
             sends.clear();
@@ -243,7 +244,7 @@
         }
 
         private void call(Endpoint endpoint, int at, List<Send> carried) {
-            long began = calendar.now();
+            long began = calendar.nowMicros();
             State state = endpoint.phase == GONE ? State.TURNS_AWAY : endpoint.state;
             long warmFor = began - endpoint.backAt;
             double warm = endpoint.backAt == 0 ? 1 : Math.min(1, 0.2 + 0.8 * warmFor / settings.warmUpMicros);
@@ -275,13 +276,13 @@
                 : Double.NaN;
             double limit = !options.reports ? Double.NaN
                 : endpoint.destination % SIZES == 5 ? 0 : limits[endpoint.destination];
-            calendar.in(outOfTime ? within : takes,
+            calendar.scheduleAfter(outOfTime ? within : takes,
                 () -> settle(at, carried, ended, wait, began, left, limit));
         }
 
         private void settle(int at, List<Send> carried, int outcome, long wait, long began, double left,
             double limit) {
-            logic.setTime(calendar.now());
+            logic.setTime(calendar.nowMicros());
             for (Send send : carried) {
                 int message = send.message;
                 boolean over = outcome == DELIVERED || !open.get(message);
@@ -289,7 +290,7 @@
                 cancelled.set(message, false);
                 open.set(message, open.get(message) && !over);
                 logic.attemptEnded(message, over, attempts.get(message) - 1, at, told, wait,
-                    calendar.now() - began, left, limit);
+                    calendar.nowMicros() - began, left, limit);
             }
             turn();
         }
@@ -338,8 +339,8 @@
         @Override
         public void setAlarm(long inMicros) {
             record("alarm", inMicros);
-            calendar.in(inMicros, () -> {
-                logic.setTime(calendar.now());
+            calendar.scheduleAfter(inMicros, () -> {
+                logic.setTime(calendar.nowMicros());
                 logic.alarmFired();
                 turn();
             });
@@ -348,7 +349,7 @@
         @Override
         public void requestEndpointList(boolean follow) {
             record("list", follow ? 1 : 0);
-            calendar.in(30 * MS, () -> tellList(true));
+            calendar.scheduleAfter(30 * MS, () -> tellList(true));
         }
     }
 }
--- a/lab/src/test/java/yewpath/lab/EmulatorTest.java
+++ b/lab/src/test/java/yewpath/lab/EmulatorTest.java
@@ -18,8 +18,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import yewpath.configuration.ConfigurationException;
-import yewpath.lab.core.Calendar;
-import yewpath.lab.core.Chance;
+import yewpath.lab.core.EventCalendar;
+import yewpath.lab.core.RandomStream;
 import yewpath.lab.policy.Policies;
 import yewpath.lab.referee.Referee;
 import yewpath.lab.report.Compare;
@@ -38,12 +38,12 @@
         + "[[offering]]\nname = \"c\"\nkind = \"tagged\"\nordered = true\n";
 
     private static World.Outcome play(String text, String policy, long seed) throws ConfigurationException {
-        return new World(ScenarioFile.parse("s.toml", text).at(Map.of()), policy, seed).play();
+        return new World(ScenarioFile.parse("s.toml", text).atPoint(Map.of()), policy, seed).play();
     }
 
     @Test
     public void eventsComeByTimeAndThoseOfOneInstantInTheirOrder() {
-        Calendar calendar = new Calendar();
+        EventCalendar calendar = new EventCalendar();
         List<Integer> times = new ArrayList<>();
         for (int i = 0; i < 5_000; i++) {
             times.add(i / 5);
@@ -52,39 +52,39 @@
         List<long[]> played = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
             long[] one = {times.get(i), i};
-            calendar.at(times.get(i), () -> played.add(one));
+            calendar.scheduleAt(times.get(i), () -> played.add(one));
         }
-        Calendar.Entry calledOff = calendar.timer(500, () -> played.add(new long[]{-1, -1}));
-        calledOff.callOff();
-        calendar.playTo(10_000);
+        EventCalendar.Timer calledOff = calendar.startTimer(500, () -> played.add(new long[]{-1, -1}));
+        calledOff.cancel();
+        calendar.runUntil(10_000);
         assertEquals(played.size(), 5_000);
         for (int i = 1; i < played.size(); i++) {
             long[] a = played.get(i - 1);
             long[] b = played.get(i);
             assertTrue(a[0] < b[0] || a[0] == b[0] && a[1] < b[1], "at " + i);
         }
-        assertEquals(calendar.now(), 10_000);
-        assertEquals(calendar.played(), 5_000);
+        assertEquals(calendar.nowMicros(), 10_000);
+        assertEquals(calendar.executedCount(), 5_000);
     }
 
     @Test
     public void whatAnEventEntersForItsOwnInstantIsPlayedBehindWhatStands() {
-        Calendar calendar = new Calendar();
+        EventCalendar calendar = new EventCalendar();
         List<String> played = new ArrayList<>();
-        calendar.at(5, () -> {
+        calendar.scheduleAt(5, () -> {
             played.add("first");
-            calendar.in(0, () -> played.add("third"));
+            calendar.scheduleAfter(0, () -> played.add("third"));
         });
-        calendar.at(5, () -> played.add("second"));
-        calendar.playTo(5);
+        calendar.scheduleAt(5, () -> played.add("second"));
+        calendar.runUntil(5);
         assertEquals(played, List.of("first", "second", "third"));
     }
 
     @Test
     public void causesHaveStreamsOfTheirOwn() {
-        Chance one = new Chance(7, "network");
-        Chance same = new Chance(7, "network");
-        Chance other = new Chance(7, "service");
+        RandomStream one = new RandomStream(7, "network");
+        RandomStream same = new RandomStream(7, "network");
+        RandomStream other = new RandomStream(7, "service");
         double drawn = one.uniform();
         assertEquals(same.uniform(), drawn);
         assertNotEquals(other.uniform(), drawn);
@@ -245,16 +245,16 @@
             SMALL + "[sweep]\n\"load.rate\" = [10, 200]\n\"world.relays\" = [1, 9]\n");
         // Planted: it takes a silence and more than six relays, whatever else there is.
         Search.Judge planted = day -> (day.point().getOrDefault("world.relays", 2.0) > 6 ? 1 : 0)
-            + (day.troubles().stream().anyMatch(t -> t.what().equals("silent")) ? 1 : 0);
+            + (day.troubles().stream().anyMatch(t -> t.type().equals("silent")) ? 1 : 0);
         Search search = new Search(file, planted, 5, 2, new PrintStream(new ByteArrayOutputStream()));
         Search.Day found = search.find(40);
         assertEquals(found.point().keySet(), Set.of("world.relays"));
-        assertEquals(found.troubles().stream().map(t -> t.what()).toList(), List.of("silent"));
+        assertEquals(found.troubles().stream().map(t -> t.type()).toList(), List.of("silent"));
         Scenario again = ScenarioFile.parse("found.toml", search.text(found)).base();
-        assertEquals(again.relays, found.point().get("world.relays").intValue());
-        assertEquals(again.troubles, found.troubles());
-        assertEquals(again.offerings, file.base().offerings);
-        assertEquals(again.rate, 60.0);
+        assertEquals(again.relayCount, found.point().get("world.relays").intValue());
+        assertEquals(again.faults, found.troubles());
+        assertEquals(again.messageClasses, file.base().messageClasses);
+        assertEquals(again.requestsPerSecond, 60.0);
         // The real judge: a day of the same scenario is played by Logic and its rivals.
         double loss = Search.againstRivals(file).loss(found);
         assertTrue(loss > -1 && loss < 1, "loss " + loss);
@@ -276,11 +276,12 @@
     public void theRefereeSeesEachRuleBroken() {
         for (Referee.Rule rule : Referee.Rule.values()) {
             Referee referee = new Referee(true, 250_000, 100_000, 300_000);
-            referee.handedIn(0, 0, 0, Referee.Kind.ONCE_ONLY, 1_000_000, 0);
-            referee.handedIn(0, 1, 1, Referee.Kind.REPEATABLE, 1_000_000, 0);
-            referee.taken(0, 0, 0);
-            referee.taken(0, 1, 0);
-            Referee.Broken broken = expectThrows(Referee.Broken.class, () -> breakIt(referee, rule));
+            referee.submitted(0, 0, 0, Referee.DeliverySemantics.AT_MOST_ONCE, 1_000_000, 0);
+            referee.submitted(0, 1, 1, Referee.DeliverySemantics.IDEMPOTENT, 1_000_000, 0);
+            referee.accepted(0, 0, 0);
+            referee.accepted(0, 1, 0);
+            Referee.RuleViolation broken = expectThrows(Referee.RuleViolation.class,
+                () -> breakIt(referee, rule));
             assertEquals(broken.rule, rule);
             assertTrue(broken.getMessage().contains("HANDED_IN"), broken.getMessage());
         }
@@ -289,49 +290,50 @@
     @Test
     public void aRestartEndsTheWaitsThatWereToldBeforeAndNoOthers() {
         Referee referee = new Referee(true, 250_000, 100_000, 300_000);
-        referee.handedIn(0, 0, 0, Referee.Kind.REPEATABLE, 9_000_000, 0);
-        referee.waitTold(0, 1L << 32 | 7, 5_000_000);
-        referee.waitTold(0, 2L << 32 | 7, 5_000_000);
-        referee.died(1);
-        referee.arrived(1_000_000, 0, 3, 1L << 32 | 7);
-        referee.callOver(1_000_000, 0, 3);
+        referee.submitted(0, 0, 0, Referee.DeliverySemantics.IDEMPOTENT, 9_000_000, 0);
+        referee.waitAdvertised(0, 1L << 32 | 7, 5_000_000);
+        referee.waitAdvertised(0, 2L << 32 | 7, 5_000_000);
+        referee.relayStopped(1);
+        referee.callArrived(1_000_000, 0, 3, 1L << 32 | 7);
+        referee.callEnded(1_000_000, 0, 3);
         assertEquals(
-            expectThrows(Referee.Broken.class, () -> referee.arrived(1_000_000, 0, 3, 2L << 32 | 7)).rule,
+            expectThrows(Referee.RuleViolation.class,
+                () -> referee.callArrived(1_000_000, 0, 3, 2L << 32 | 7)).rule,
             Referee.Rule.WAIT);
     }
 
     private static void breakIt(Referee referee, Referee.Rule rule) {
         switch (rule) {
-            case LOST -> referee.close(1_300_001, 2);
+            case LOST -> referee.checkLost(1_300_001, 2);
             case TWICE -> {
-                referee.ran(10, 0, 0);
+                referee.executed(10, 0, 0);
                 // Over a restart, which excuses nothing of that.
-                referee.died(0);
+                referee.relayStopped(0);
                 referee.restored(20, 0, 0);
-                referee.ran(30, 0, 1);
+                referee.executed(30, 0, 1);
             }
             case AT_ONCE -> {
-                referee.arrived(10, 1, 0, 0);
-                referee.arrived(20, 1, 1, 0);
-                referee.callOver(60_000, 1, 0);
+                referee.callArrived(10, 1, 0, 0);
+                referee.callArrived(20, 1, 1, 0);
+                referee.callEnded(60_000, 1, 0);
             }
             case DRAIN -> {
-                referee.listed(0, 0, 5, false);
-                referee.sent(250_000, 0, 0, 5, -1);
-                referee.sent(250_001, 0, 0, 5, -1);
+                referee.endpointListed(0, 0, 5, false);
+                referee.callSent(250_000, 0, 0, 5, -1);
+                referee.callSent(250_001, 0, 0, 5, -1);
             }
-            case PUSHED_OVER -> referee.pushedOver(10, 0, 5);
+            case PUSHED_OVER -> referee.endpointCollapsed(10, 0, 5);
             case ORDER -> {
-                referee.sent(10, 0, 0, 5, 3);
-                referee.sent(20, 1, 1, 5, 3);
-                referee.back(0, 0, 3);
-                referee.sent(30, 0, 0, 5, 3);
-                referee.sent(40, 1, 0, 5, 3);
+                referee.callSent(10, 0, 0, 5, 3);
+                referee.callSent(20, 1, 1, 5, 3);
+                referee.outcomeReceived(0, 0, 3);
+                referee.callSent(30, 0, 0, 5, 3);
+                referee.callSent(40, 1, 0, 5, 3);
             }
             default -> {
-                referee.waitTold(0, 9, 500_000);
-                referee.arrived(100_000, 0, 0, 9);
-                referee.arrived(400_000, 1, 0, 9);
+                referee.waitAdvertised(0, 9, 500_000);
+                referee.callArrived(100_000, 0, 0, 9);
+                referee.callArrived(400_000, 1, 0, 9);
             }
         }
     }
