--- a/lab/src/main/java/yewpath/lab/core/EventCalendar.java
+++ b/lab/src/main/java/yewpath/lab/core/EventCalendar.java
@@ -3,140 +3,152 @@
 import java.util.Arrays;
 
 /**
- * Events by time; of one instant in the order in which they were entered, so that a run is the same wherever it is
- * played. A 4-ary heap over parallel arrays: ten million events take some 300 MB, and a step touches few cache lines
- * (Johnson 1975, d-heaps). One thread.
+ * The event calendar of a discrete-event simulation: runs scheduled actions in the order of their times. Actions of the
+ * same time run in the order in which they were scheduled, so that a run is reproducible on every machine.
+ *
+ * <p>
+ * It is a 4-ary heap over parallel arrays (Johnson 1975, d-heaps): ten million events take some 300 MB, and a step
+ * touches few cache lines. Times are microseconds from the start of the run. Not thread-safe.
  */
 public final class EventCalendar {
-    /** An event that may be called off; what is called off costs nothing but its place until its time. */
+    /** A scheduled action that can be cancelled. A cancelled timer keeps its place in the heap until its time. */
     public static final class Timer {
-        private Runnable act;
+        private Runnable action;
 
-        private Timer(Runnable act) {
-            this.act = act;
+        private Timer(Runnable action) {
+            this.action = action;
         }
 
+        /** Prevents the action from running; has no effect once it has run. */
         public void cancel() {
-            act = null;
+            action = null;
         }
     }
 
-    private long[] times = new long[1 << 10];
-    private long[] orders = new long[1 << 10];
-    private Object[] acts = new Object[1 << 10];
+    private static final int INITIAL_CAPACITY = 1 << 10;
+
+    private long[] times = new long[INITIAL_CAPACITY];
+    private long[] sequenceNumbers = new long[INITIAL_CAPACITY];
+    /** A {@link Runnable} or a {@link Timer} for each event. */
+    private Object[] actions = new Object[INITIAL_CAPACITY];
     private int size;
-    private long ordered;
-    private long now;
-    private long played;
+    private long nextSequenceNumber;
+    private long nowMicros;
+    private long executedCount;
 
-    /** Microseconds from the start of the run. */
+    /** Returns the simulated time in microseconds from the start of the run. */
     public long nowMicros() {
-        return now;
+        return nowMicros;
     }
 
+    /** Returns how many actions have run so far; cancelled timers do not count. */
     public long executedCount() {
-        return played;
+        return executedCount;
     }
 
-    /** The next event's time; the greatest long where there is none. */
+    /** Returns the time of the next event, or {@link Long#MAX_VALUE} if no event is scheduled. */
     public long nextEventMicros() {
         return size == 0 ? Long.MAX_VALUE : times[0];
     }
 
+    /** Returns the number of scheduled events, including cancelled timers whose time has not come. */
     public int size() {
         return size;
     }
 
-    public void scheduleAfter(long micros, Runnable act) {
-        add(now + Math.max(0, micros), act);
+    /** Schedules an action after a delay in microseconds; a negative delay counts as zero. */
+    public void scheduleAfter(long delayMicros, Runnable action) {
+        add(nowMicros + Math.max(0, delayMicros), action);
     }
 
-    /** A time that is past is now. */
-    public void scheduleAt(long time, Runnable act) {
-        add(Math.max(now, time), act);
+    /** Schedules an action at a time in microseconds; a time in the past counts as the present. */
+    public void scheduleAt(long timeMicros, Runnable action) {
+        add(Math.max(nowMicros, timeMicros), action);
     }
 
-    public Timer startTimer(long micros, Runnable act) {
-        Timer entry = new Timer(act);
-        add(now + Math.max(0, micros), entry);
-        return entry;
+    /** Schedules an action after a delay in microseconds and returns a handle that can cancel it. */
+    public Timer startTimer(long delayMicros, Runnable action) {
+        Timer timer = new Timer(action);
+        add(nowMicros + Math.max(0, delayMicros), timer);
+        return timer;
     }
 
-    private void add(long time, Object act) {
+    private void add(long time, Object action) {
         if (size == times.length) {
             times = Arrays.copyOf(times, 2 * size);
-            orders = Arrays.copyOf(orders, 2 * size);
-            acts = Arrays.copyOf(acts, 2 * size);
+            sequenceNumbers = Arrays.copyOf(sequenceNumbers, 2 * size);
+            actions = Arrays.copyOf(actions, 2 * size);
         }
-        int at = size++;
-        long order = ordered++;
-        while (at > 0) {
-            int parent = (at - 1) >> 2;
+        int position = size++;
+        long sequenceNumber = nextSequenceNumber++;
+        while (position > 0) {
+            int parent = (position - 1) >> 2;
             if (times[parent] <= time) {
-                // An earlier entry of the same time has the lesser order.
+                // A parent of the same time was scheduled earlier and has the lower sequence number.
                 break;
             }
-            move(parent, at);
-            at = parent;
+            move(parent, position);
+            position = parent;
         }
-        times[at] = time;
-        orders[at] = order;
-        acts[at] = act;
+        times[position] = time;
+        sequenceNumbers[position] = sequenceNumber;
+        actions[position] = action;
     }
 
     private void move(int from, int to) {
         times[to] = times[from];
-        orders[to] = orders[from];
-        acts[to] = acts[from];
+        sequenceNumbers[to] = sequenceNumbers[from];
+        actions[to] = actions[from];
     }
 
-    private boolean before(int a, int b) {
-        return times[a] < times[b] || times[a] == times[b] && orders[a] < orders[b];
+    private boolean isBefore(int first, int second) {
+        return times[first] < times[second]
+            || times[first] == times[second] && sequenceNumbers[first] < sequenceNumbers[second];
     }
 
-    /** Plays all that is due up to {@code end}, which then is now. */
-    public void runUntil(long end) {
-        while (size > 0 && times[0] <= end) {
-            now = times[0];
-            Object act = acts[0];
+    /** Runs all actions that are due up to and including {@code endMicros}, then advances the time to it. */
+    public void runUntil(long endMicros) {
+        while (size > 0 && times[0] <= endMicros) {
+            nowMicros = times[0];
+            Object action = actions[0];
             removeFirst();
-            if (act instanceof Timer entry) {
-                if (entry.act == null) {
+            if (action instanceof Timer timer) {
+                if (timer.action == null) {
                     continue;
                 }
-                played++;
-                entry.act.run();
+                executedCount++;
+                timer.action.run();
             } else {
-                played++;
-                ((Runnable) act).run();
+                executedCount++;
+                ((Runnable) action).run();
             }
         }
-        now = Math.max(now, end);
+        nowMicros = Math.max(nowMicros, endMicros);
     }
 
     private void removeFirst() {
         int last = --size;
         if (last == 0) {
-            acts[0] = null;
+            actions[0] = null;
             return;
         }
-        int at = 0;
+        int position = 0;
         while (true) {
-            int first = 4 * at + 1;
-            if (first >= last) {
+            int firstChild = 4 * position + 1;
+            if (firstChild >= last) {
                 break;
             }
-            int least = first;
-            for (int i = first + 1; i < Math.min(first + 4, last); i++) {
-                least = before(i, least) ? i : least;
+            int earliest = firstChild;
+            for (int child = firstChild + 1; child < Math.min(firstChild + 4, last); child++) {
+                earliest = isBefore(child, earliest) ? child : earliest;
             }
-            if (!before(least, last)) {
+            if (!isBefore(earliest, last)) {
                 break;
             }
-            move(least, at);
-            at = least;
+            move(earliest, position);
+            position = earliest;
         }
-        move(last, at);
-        acts[last] = null;
+        move(last, position);
+        actions[last] = null;
     }
 }
--- a/lab/src/main/java/yewpath/lab/core/RandomStream.java
+++ b/lab/src/main/java/yewpath/lab/core/RandomStream.java
@@ -4,54 +4,65 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Random numbers of one cause. Each cause has a stream of its own, seeded by the run's seed and its name, so that a
- * change of one part does not shift the others. Transforms use StrictMath: the same bytes on any machine.
+ * A stream of random numbers for one purpose of a run, such as network delays. Each stream is seeded by the seed of the
+ * run and by its name, so that a change in how one part of the emulator draws numbers does not shift the numbers of the
+ * others. The transforms use {@link StrictMath}, which gives the same results on every machine. Not thread-safe.
  */
 public final class RandomStream {
+    /** Multiplier of the FNV-1 hash with 64 bits. */
+    private static final long HASH_MULTIPLIER = 1_099_511_628_211L;
+
     private final UniformRandomProvider source;
-    private double spare = Double.NaN;
+    /** Second number of the last Box-Muller pair, or NaN if it has been used. */
+    private double spareNormal = Double.NaN;
 
-    public RandomStream(long seed, String cause) {
-        long mixed = seed;
-        for (int i = 0; i < cause.length(); i++) {
-            mixed = mixed * 1_099_511_628_211L ^ cause.charAt(i);
+    public RandomStream(long seed, String name) {
+        long nameHash = seed;
+        for (int i = 0; i < name.length(); i++) {
+            nameHash = nameHash * HASH_MULTIPLIER ^ name.charAt(i);
         }
-        source = RandomSource.XO_RO_SHI_RO_128_PP.create(new long[]{seed, mixed});
+        source = RandomSource.XO_RO_SHI_RO_128_PP.create(new long[]{seed, nameHash});
     }
 
-    /** Uniform in [0, 1). */
+    /** Returns a number uniformly distributed in [0, 1). */
     public double uniform() {
         return source.nextDouble();
     }
 
+    /** Returns an integer uniformly distributed from 0 (inclusive) to {@code bound} (exclusive). */
     public int nextInt(int bound) {
         return source.nextInt(bound);
     }
 
-    public boolean nextBoolean(double share) {
-        return share > 0 && source.nextDouble() < share;
+    /** Returns true with this probability; draws no number if the probability is 0. */
+    public boolean nextBoolean(double probability) {
+        return probability > 0 && source.nextDouble() < probability;
     }
 
-    /** Exponential with this mean: the gaps of a Poisson stream. */
+    /** Returns an exponentially distributed number, such as the time between two arrivals of a Poisson process. */
     public double exponential(double mean) {
         return -mean * StrictMath.log(1 - source.nextDouble());
     }
 
-    /** Log-normal with this mean; {@code sigma} of the logarithm, 0 for always the mean. */
+    /**
+     * Returns a log-normally distributed number.
+     *
+     * @param sigma standard deviation of the logarithm; 0 returns {@code mean} and draws no number
+     */
     public double logNormal(double mean, double sigma) {
         return sigma == 0 ? mean : mean * StrictMath.exp(sigma * normal() - sigma * sigma / 2);
     }
 
-    /** Box and Muller 1958, both numbers used. */
+    /** Returns a number of the standard normal distribution (Box and Muller 1958, both numbers of a pair are used). */
     private double normal() {
-        if (!Double.isNaN(spare)) {
-            double kept = spare;
-            spare = Double.NaN;
-            return kept;
+        if (!Double.isNaN(spareNormal)) {
+            double spare = spareNormal;
+            spareNormal = Double.NaN;
+            return spare;
         }
         double radius = StrictMath.sqrt(-2 * StrictMath.log(1 - source.nextDouble()));
         double angle = 2 * StrictMath.PI * source.nextDouble();
-        spare = radius * StrictMath.sin(angle);
+        spareNormal = radius * StrictMath.sin(angle);
         return radius * StrictMath.cos(angle);
     }
 }
--- a/lab/src/main/java/yewpath/lab/core/package-info.java
+++ b/lab/src/main/java/yewpath/lab/core/package-info.java
@@ -1,2 +1,2 @@
-/** Simulated time and chance: a calendar of events, and a stream of random numbers for each cause. */
+/** Foundations of the emulator: simulated time with a calendar of events, and reproducible random numbers. */
 package yewpath.lab.core;
--- a/lab/src/main/java/yewpath/lab/referee/package-info.java
+++ b/lab/src/main/java/yewpath/lab/referee/package-info.java
@@ -1,2 +1,5 @@
-/** The rules, checked on every event of a run, written apart from Logic and from the stand-ins' accounts. */
+/**
+ * Checks the delivery rules on every event of a run. The rules are implemented independently of the delivery policy and
+ * of the referee of the stand-ins, so that an error in one of them does not hide in the others.
+ */
 package yewpath.lab.referee;
--- a/lab/src/main/java/yewpath/lab/scenario/package-info.java
+++ b/lab/src/main/java/yewpath/lab/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** What is played, as a file says it: world, load, troubles, policies, sweeps. */
+/** Scenario files: the emulated world, its load and faults, the policies to run, and the parameters to sweep. */
 package yewpath.lab.scenario;
