--- a/lab/src/main/java/yewpath/lab/load/Live.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketRun.java
@@ -17,9 +17,9 @@
 import yewpath.standins.referee.PlatformObserver;
 
 /** One run on sockets. All of it but the relays lives on one reactor's thread. */
-public final class Live {
+public final class SocketRun {
     /** What a relay took of the machine: CPU in milliseconds over the run, most memory and descriptors. */
-    public record Usage(long cpuMs, long residentMb, long descriptors) {}
+    public record ResourceUsage(long cpuMillis, long residentMb, long openDescriptors) {}
 
     private static final List<String> PLAYED = List.of("silent", "refuse", "slow", "errors", "resets",
         "limit", "drain", "burst",
@@ -37,31 +37,31 @@
     private final ArrayList<SocketHost> holders = new ArrayList<>();
     private long begunAt;
     private long armedFor = Long.MAX_VALUE;
-    private final List<Usage> usage = new ArrayList<>();
+    private final List<ResourceUsage> usage = new ArrayList<>();
 
     /** Throws IllegalArgumentException for a trouble that sockets on one machine can't have. */
-    public Live(PrintStream say, Scenario scenario) throws IOException {
+    public SocketRun(PrintStream say, Scenario scenario) throws IOException {
         this.say = say;
         s = scenario;
-        for (Scenario.Trouble trouble : s.troubles) {
-            if (!PLAYED.contains(trouble.what())) {
+        for (Scenario.Fault trouble : s.faults) {
+            if (!PLAYED.contains(trouble.type())) {
                 throw new IllegalArgumentException(
-                    "trouble " + trouble.what() + " can't be played on sockets; these can: "
+                    "trouble " + trouble.type() + " can't be played on sockets; these can: "
                         + String.join(", ", PLAYED));
             }
         }
-        if (s.relays > 16 || s.destinations * s.endpointsEach > 2_000) {
+        if (s.relayCount > 16 || s.destinationCount * s.endpointsPerDestination > 2_000) {
             throw new IllegalArgumentException(
                 "at most 16 relays and 2000 endpoints on sockets of one machine");
         }
         // The way is what loopback takes, and is not added once more.
-        s.delay = 1;
-        s.delaySpread = 0;
+        s.networkDelayMicros = 1;
+        s.networkDelaySigma = 0;
         reactor = new Reactor(failure -> say.println("a stand-in failed: " + failure));
     }
 
     /** {@code command} starts a relay, without its arguments. */
-    public World.Outcome play(List<String> command) throws IOException, InterruptedException {
+    public World.RunResult run(List<String> command) throws IOException, InterruptedException {
         try {
             reactor.call(() -> {
                 world = new World(s, "logic", s.seed, (w, index) -> {
@@ -84,7 +84,7 @@
                 platform.open(0);
                 return null;
             });
-            for (int i = 0; i < s.relays; i++) {
+            for (int i = 0; i < s.relayCount; i++) {
                 RelayProcess process = new RelayProcess(command, "127.0.0.1:" + platform.address().getPort(),
                     0, offerings(), told(i), List.of());
                 processes.add(process);
@@ -94,7 +94,7 @@
             reactor.call(() -> {
                 begunAt = reactor.nowMicros();
                 world.begin();
-                world.calendar.at(world.end(), over::countDown);
+                world.calendar.scheduleAt(world.end(), over::countDown);
                 arm();
                 return null;
             });
@@ -118,11 +118,11 @@
             for (int i = 0; i < processes.size(); i++) {
                 try {
                     Proc proc = new Proc(processes.get(i).pid());
-                    long now = proc.cpuMs();
+                    long now = proc.cpuMillis();
                     first[i] = second == 0 ? now : first[i];
                     cpu[i] = Math.max(cpu[i], now - first[i]);
                     resident[i] = Math.max(resident[i], (long) proc.residentMb());
-                    descriptors[i] = Math.max(descriptors[i], proc.descriptors());
+                    descriptors[i] = Math.max(descriptors[i], proc.openDescriptors());
                 } catch (IOException gone) {
                     // Killed by the scenario, and not yet back.
                     continue;
@@ -130,41 +130,44 @@
             }
         }
         for (int i = 0; i < processes.size(); i++) {
-            usage.add(new Usage(cpu[i], resident[i], descriptors[i]));
+            usage.add(new ResourceUsage(cpu[i], resident[i], descriptors[i]));
         }
     }
 
     /** By relay. */
-    public List<Usage> usage() {
+    public List<ResourceUsage> resourceUsage() {
         return usage;
     }
 
     private List<RelayConfig.MessageClass> offerings() {
-        return s.offerings.stream().map(o -> new RelayConfig.MessageClass(o.name(), switch (o.kind()) {
-            case "repeatable" -> "pure";
-            case "tagged" -> "token";
-            default -> "side_effect";
-        }, o.ordered(), (int) (o.agreed() / 1000), (int) (o.expiry() / 1000))).toList();
+        return s.messageClasses.stream()
+            .map(o -> new RelayConfig.MessageClass(o.name(), switch (o.semantics()) {
+                case "repeatable" -> "pure";
+                case "tagged" -> "token";
+                default -> "side_effect";
+            }, o.ordered(), (int) (o.onTimeMicros() / 1000), (int) (o.timeToLiveMicros() / 1000))).toList();
     }
 
     private RelayConfig.RelaySettings told(int index) {
-        return new RelayConfig.RelaySettings(s.relays, index, s.slots, s.hold, s.tries,
-            s.connectTimeout / 1000,
-            s.connectionIdle / 1000, s.coldFrom,
-            s.coldFor / 1000, s.fallMultiple, s.fallFor / 1000, World.SETTLE / 1000, false, 192);
+        return new RelayConfig.RelaySettings(s.relayCount, index, s.maxConcurrentCalls, s.maxOpenMessages,
+            s.maxAttempts,
+            s.connectTimeoutMicros / 1000,
+            s.idleConnectionTimeoutMicros / 1000, s.endpointWarmUpInitialShare,
+            s.endpointWarmUpMicros / 1000, s.collapseMultiple, s.collapseMicros / 1000, World.SETTLE / 1000,
+            false, 192);
     }
 
     // ---- Time
 
     /** Brings the world to the present, lets something happen in it, and sees to what is due next. */
     void act(Runnable happens) {
-        world.calendar.playTo(reactor.nowMicros() - begunAt);
+        world.calendar.runUntil(reactor.nowMicros() - begunAt);
         happens.run();
         arm();
     }
 
     private void arm() {
-        long next = world.calendar.next();
+        long next = world.calendar.nextEventMicros();
         if (next < armedFor) {
             armedFor = next;
             reactor.schedule(next - (reactor.nowMicros() - begunAt), () -> {
@@ -205,10 +208,10 @@
         if (e == null) {
             say.println("a notice for an envelope that nobody handed in: " + id);
         } else if (handedBack) {
-            world.referee.deferred(world.calendar.now(), e.index);
+            world.referee.rejected(world.calendar.nowMicros(), e.index);
             world.crowd.ended(e, true, pause);
         } else {
-            world.referee.aborted(world.calendar.now(), e.index);
+            world.referee.failed(world.calendar.nowMicros(), e.index);
             world.crowd.ended(e, false, 0);
         }
     }
@@ -219,11 +222,11 @@
     }
 
     /** A line of what a run came to. */
-    public static String line(String what, World.Outcome o) {
+    public static String tableRow(String what, World.RunResult o) {
         return String.format(Locale.ROOT, "| %s | %.4f | %.4f | %.4f | %.4f | %.1f | %.1f | %d | %d |", what,
-            o.service(), o.fulfilled(),
-            o.inTime(), o.failed(), o.delays().getValueAtPercentile(50) / 1e3,
-            o.delays().getValueAtPercentile(99) / 1e3, o.handIns(),
-            o.broken());
+            o.revenueShare(), o.deliveredShare(),
+            o.onTimeShare(), o.failedShare(), o.deliveryDelays().getValueAtPercentile(50) / 1e3,
+            o.deliveryDelays().getValueAtPercentile(99) / 1e3, o.submissions(),
+            o.violationCount());
     }
 }
