--- a/relay/src/main/java/yewpath/wirehost/RelayInstance.java
+++ b/relay/src/main/java/yewpath/wirehost/RelayInstance.java
@@ -4,9 +4,9 @@
 import yewpath.DeliveryPolicy;
 import yewpath.PolicyActions;
 import yewpath.PolicySettings;
-import yewpath.boot.PlatformSettings;
 import yewpath.boot.KeyTable;
 import yewpath.boot.NameTable;
+import yewpath.boot.PlatformSettings;
 
 /**
  * One relay of the simulation: its delivery policy, the indices of its messages and endpoints, and the
--- a/relay/src/main/java/yewpath/wirehost/WireHost.java
+++ b/relay/src/main/java/yewpath/wirehost/WireHost.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 import yewpath.DeliveryPolicy;
 import yewpath.PolicyActions;
-import yewpath.boot.PlatformSettings;
 import yewpath.boot.InvalidInputException;
+import yewpath.boot.PlatformSettings;
 
 /**
  * Serves the text protocol of the simulator: reports the events of each round to the delivery policies of
