--- a/lab/src/main/java/yewpath/lab/StartupBenchmark.java
+++ b/lab/src/main/java/yewpath/lab/StartupBenchmark.java
@@ -16,7 +16,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import yewpath.lab.load.Proc;
+import yewpath.lab.load.ProcessStatistics;
 import yewpath.standins.io.Reactor;
 import yewpath.standins.peer.Client;
 import yewpath.standins.peer.Endpoint;
@@ -102,7 +102,7 @@
             builder.environment().put("NODE_CONFIG", config.toString());
             long begun = System.nanoTime();
             Process process = builder.start();
-            Proc proc = new Proc(process.pid());
+            ProcessStatistics proc = new ProcessStatistics(process.pid());
             try {
                 while (!isReady(at)) {
                     if (!process.isAlive()) {
--- a/lab/src/main/java/yewpath/lab/load/SocketRun.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketRun.java
@@ -8,7 +8,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import yewpath.lab.scenario.Scenario;
-import yewpath.lab.world.Envelope;
+import yewpath.lab.world.EmulatedEndpoint;
+import yewpath.lab.world.Message;
 import yewpath.lab.world.World;
 import yewpath.standins.io.Reactor;
 import yewpath.standins.peer.Platform;
@@ -16,90 +17,110 @@
 import yewpath.standins.process.RelayProcess;
 import yewpath.standins.referee.PlatformObserver;
 
-/** One run on sockets. All of it but the relays lives on one reactor's thread. */
+/** One run of a scenario over sockets. Everything but the relays runs on the thread of one reactor. */
 public final class SocketRun {
-    /** What a relay took of the machine: CPU in milliseconds over the run, most memory and descriptors. */
+    /**
+     * Resources that a relay used: CPU time over the run, and the maxima of resident memory and open
+     * descriptors.
+     */
     public record ResourceUsage(long cpuMillis, long residentMb, long openDescriptors) {}
 
-    private static final List<String> PLAYED = List.of("silent", "refuse", "slow", "errors", "resets",
-        "limit", "drain", "burst",
-        "relay-kill");
+    /** The types of faults that can be injected over sockets. */
+    private static final List<String> SUPPORTED_FAULTS = List.of("silent", "refuse", "slow", "errors",
+        "resets", "limit", "drain", "burst", "relay-kill");
+    private static final int MAX_RELAYS = 16;
+    private static final int MAX_ENDPOINTS = 2_000;
+    private static final int RELAY_MEMORY_MB = 192;
 
     final Reactor reactor;
     World world;
-    private final Scenario s;
-    private final PrintStream say;
+    private final Scenario scenario;
+    private final PrintStream log;
     private final List<RelayProcess> processes = new ArrayList<>();
-    private final List<SocketHost> hosts = new ArrayList<>();
-    private final List<SocketStation> stations = new ArrayList<>();
+    private final List<SocketRelay> relays = new ArrayList<>();
+    private final List<SocketEndpoint> endpoints = new ArrayList<>();
     private Platform platform;
-    private final ArrayList<Envelope> envelopes = new ArrayList<>();
-    private final ArrayList<SocketHost> holders = new ArrayList<>();
-    private long begunAt;
-    private long armedFor = Long.MAX_VALUE;
-    private final List<ResourceUsage> usage = new ArrayList<>();
-
-    /** Throws IllegalArgumentException for a trouble that sockets on one machine can't have. */
-    public SocketRun(PrintStream say, Scenario scenario) throws IOException {
-        this.say = say;
-        s = scenario;
-        for (Scenario.Fault trouble : s.faults) {
-            if (!PLAYED.contains(trouble.type())) {
+    // By message index.
+    private final ArrayList<Message> messages = new ArrayList<>();
+    private final ArrayList<SocketRelay> relayOfMessage = new ArrayList<>();
+    private long startedAtMicros;
+    /** The world's time for which a timer is set. */
+    private long timerSetForMicros = Long.MAX_VALUE;
+    private final List<ResourceUsage> resourceUsage = new ArrayList<>();
+
+    /**
+     * Prepares a run; {@code log} receives reports of unexpected events.
+     *
+     * @throws IllegalArgumentException when the scenario has a fault that cannot be injected over sockets, or
+     *     is too large for one machine
+     */
+    public SocketRun(PrintStream log, Scenario scenario) throws IOException {
+        this.log = log;
+        this.scenario = scenario;
+        for (Scenario.Fault fault : scenario.faults) {
+            if (!SUPPORTED_FAULTS.contains(fault.type())) {
                 throw new IllegalArgumentException(
-                    "trouble " + trouble.type() + " can't be played on sockets; these can: "
-                        + String.join(", ", PLAYED));
+                    "trouble " + fault.type() + " can't be played on sockets; these can: "
+                        + String.join(", ", SUPPORTED_FAULTS));
             }
         }
-        if (s.relayCount > 16 || s.destinationCount * s.endpointsPerDestination > 2_000) {
+        if (scenario.relayCount > MAX_RELAYS
+            || scenario.destinationCount * scenario.endpointsPerDestination > MAX_ENDPOINTS) {
             throw new IllegalArgumentException(
                 "at most 16 relays and 2000 endpoints on sockets of one machine");
         }
-        // The way is what loopback takes, and is not added once more.
-        s.networkDelayMicros = 1;
-        s.networkDelaySigma = 0;
-        reactor = new Reactor(failure -> say.println("a stand-in failed: " + failure));
+        // The loopback interface has a delay of its own; the emulated network delay must not be added to it.
+        scenario.networkDelayMicros = 1;
+        scenario.networkDelaySigma = 0;
+        reactor = new Reactor(failure -> log.println("exception in the stand-ins' reactor: " + failure));
     }
 
-    /** {@code command} starts a relay, without its arguments. */
+    /**
+     * Starts the relays, plays the scenario in real time, and stops the relays.
+     *
+     * @param command starts a relay, without the relay's arguments
+     */
     public World.RunResult run(List<String> command) throws IOException, InterruptedException {
         try {
             reactor.call(() -> {
-                world = new World(s, "logic", s.seed, (w, index) -> {
-                    SocketHost host = new SocketHost(this, w, index);
-                    hosts.add(host);
-                    return host;
+                world = new World(scenario, "logic", scenario.seed, (createdWorld, index) -> {
+                    SocketRelay relay = new SocketRelay(this, createdWorld, index);
+                    relays.add(relay);
+                    return relay;
                 });
-                for (yewpath.lab.world.Station one : world.stations) {
-                    stations.add(new SocketStation(this, one));
+                for (EmulatedEndpoint endpoint : world.endpoints) {
+                    endpoints.add(new SocketEndpoint(this, endpoint));
                 }
                 platform = new Platform(reactor, new PlatformObserver() {
                     @Override
-                    public void endpointListed(String endpoint, boolean open, long at) {}
+                    public void endpointListed(String endpoint, boolean open, long atMicros) {}
 
                     @Override
-                    public void noticeReceived(String id, boolean handedBack, long pause, long at) {
-                        act(() -> ended(id, handedBack, pause));
+                    public void noticeReceived(String id, boolean rejected, long retryAfterMicros,
+                        long atMicros) {
+                        runEvent(() -> messageEnded(id, rejected, retryAfterMicros));
                     }
-                }, stations);
+                }, endpoints);
                 platform.open(0);
                 return null;
             });
-            for (int i = 0; i < s.relayCount; i++) {
-                RelayProcess process = new RelayProcess(command, "127.0.0.1:" + platform.address().getPort(),
-                    0, offerings(), told(i), List.of());
+            for (int i = 0; i < scenario.relayCount; i++) {
+                RelayProcess process = new RelayProcess(command,
+                    "127.0.0.1:" + platform.address().getPort(), 0, messageClasses(), relaySettings(i),
+                    List.of());
                 processes.add(process);
-                hosts.get(i).runsIn(process);
+                relays.get(i).setProcess(process);
             }
-            CountDownLatch over = new CountDownLatch(1);
+            CountDownLatch ended = new CountDownLatch(1);
             reactor.call(() -> {
-                begunAt = reactor.nowMicros();
-                world.begin();
-                world.calendar.scheduleAt(world.end(), over::countDown);
-                arm();
+                startedAtMicros = reactor.nowMicros();
+                world.start();
+                world.calendar.scheduleAt(world.endMicros(), ended::countDown);
+                setTimer();
                 return null;
             });
-            watch(over);
-            return reactor.call(world::close);
+            recordUsageUntil(ended);
+            return reactor.call(world::finish);
         } finally {
             for (RelayProcess process : processes) {
                 process.terminate();
@@ -109,124 +130,132 @@
         }
     }
 
-    private void watch(CountDownLatch over) throws InterruptedException, IOException {
-        long[] cpu = new long[processes.size()];
-        long[] resident = new long[processes.size()];
-        long[] descriptors = new long[processes.size()];
-        long[] first = new long[processes.size()];
-        for (int second = 0; !over.await(1, TimeUnit.SECONDS); second++) {
+    /** Reads the resource usage of the relays once a second until the run has ended. */
+    private void recordUsageUntil(CountDownLatch ended) throws InterruptedException, IOException {
+        long[] cpuMillis = new long[processes.size()];
+        long[] residentMb = new long[processes.size()];
+        long[] openDescriptors = new long[processes.size()];
+        long[] firstCpuMillis = new long[processes.size()];
+        for (int second = 0; !ended.await(1, TimeUnit.SECONDS); second++) {
             for (int i = 0; i < processes.size(); i++) {
                 try {
-                    Proc proc = new Proc(processes.get(i).pid());
-                    long now = proc.cpuMillis();
-                    first[i] = second == 0 ? now : first[i];
-                    cpu[i] = Math.max(cpu[i], now - first[i]);
-                    resident[i] = Math.max(resident[i], (long) proc.residentMb());
-                    descriptors[i] = Math.max(descriptors[i], proc.openDescriptors());
-                } catch (IOException gone) {
-                    // Killed by the scenario, and not yet back.
+                    ProcessStatistics statistics = new ProcessStatistics(processes.get(i).pid());
+                    long currentCpuMillis = statistics.cpuMillis();
+                    firstCpuMillis[i] = second == 0 ? currentCpuMillis : firstCpuMillis[i];
+                    cpuMillis[i] = Math.max(cpuMillis[i], currentCpuMillis - firstCpuMillis[i]);
+                    residentMb[i] = Math.max(residentMb[i], (long) statistics.residentMb());
+                    openDescriptors[i] = Math.max(openDescriptors[i], statistics.openDescriptors());
+                } catch (IOException processGone) {
+                    // The scenario killed the process, and it has not been started again yet.
                     continue;
                 }
             }
         }
         for (int i = 0; i < processes.size(); i++) {
-            usage.add(new ResourceUsage(cpu[i], resident[i], descriptors[i]));
+            resourceUsage.add(new ResourceUsage(cpuMillis[i], residentMb[i], openDescriptors[i]));
         }
     }
 
-    /** By relay. */
+    /** The resource usage by relay; empty before {@link #run} has returned. */
     public List<ResourceUsage> resourceUsage() {
-        return usage;
+        return resourceUsage;
     }
 
-    private List<RelayConfig.MessageClass> offerings() {
-        return s.messageClasses.stream()
-            .map(o -> new RelayConfig.MessageClass(o.name(), switch (o.semantics()) {
-                case "repeatable" -> "pure";
-                case "tagged" -> "token";
-                default -> "side_effect";
-            }, o.ordered(), (int) (o.onTimeMicros() / 1000), (int) (o.timeToLiveMicros() / 1000))).toList();
+    private List<RelayConfig.MessageClass> messageClasses() {
+        return scenario.messageClasses.stream()
+            .map(messageClass -> new RelayConfig.MessageClass(messageClass.name(),
+                switch (messageClass.semantics()) {
+                    case "repeatable" -> "pure";
+                    case "tagged" -> "token";
+                    default -> "side_effect";
+                }, messageClass.ordered(), (int) (messageClass.onTimeMicros() / 1000),
+                (int) (messageClass.timeToLiveMicros() / 1000)))
+            .toList();
     }
 
-    private RelayConfig.RelaySettings told(int index) {
-        return new RelayConfig.RelaySettings(s.relayCount, index, s.maxConcurrentCalls, s.maxOpenMessages,
-            s.maxAttempts,
-            s.connectTimeoutMicros / 1000,
-            s.idleConnectionTimeoutMicros / 1000, s.endpointWarmUpInitialShare,
-            s.endpointWarmUpMicros / 1000, s.collapseMultiple, s.collapseMicros / 1000, World.SETTLE / 1000,
-            false, 192);
+    private RelayConfig.RelaySettings relaySettings(int index) {
+        return new RelayConfig.RelaySettings(scenario.relayCount, index, scenario.maxConcurrentCalls,
+            scenario.maxOpenMessages, scenario.maxAttempts, scenario.connectTimeoutMicros / 1000,
+            scenario.idleConnectionTimeoutMicros / 1000, scenario.endpointWarmUpInitialShare,
+            scenario.endpointWarmUpMicros / 1000, scenario.collapseMultiple,
+            scenario.collapseMicros / 1000, World.SETTLE_AFTER_UNCERTAIN_MICROS / 1000, false,
+            RELAY_MEMORY_MB);
     }
 
     // ---- Time
 
-    /** Brings the world to the present, lets something happen in it, and sees to what is due next. */
-    void act(Runnable happens) {
-        world.calendar.runUntil(reactor.nowMicros() - begunAt);
-        happens.run();
-        arm();
+    /** Runs all events that are due, then this one, and sets the timer for the next. */
+    void runEvent(Runnable event) {
+        world.calendar.runUntil(reactor.nowMicros() - startedAtMicros);
+        event.run();
+        setTimer();
     }
 
-    private void arm() {
-        long next = world.calendar.nextEventMicros();
-        if (next < armedFor) {
-            armedFor = next;
-            reactor.schedule(next - (reactor.nowMicros() - begunAt), () -> {
-                armedFor = Long.MAX_VALUE;
-                act(() -> stations.forEach(SocketStation::look));
+    private void setTimer() {
+        long nextMicros = world.calendar.nextEventMicros();
+        if (nextMicros < timerSetForMicros) {
+            timerSetForMicros = nextMicros;
+            reactor.schedule(nextMicros - (reactor.nowMicros() - startedAtMicros), () -> {
+                timerSetForMicros = Long.MAX_VALUE;
+                runEvent(() -> endpoints.forEach(SocketEndpoint::updatePort));
             });
         }
     }
 
-    // ---- Envelopes by id
+    // ---- Messages by id
 
-    String id(Envelope e, SocketHost host) {
-        while (envelopes.size() <= e.index) {
-            envelopes.add(null);
-            holders.add(null);
+    /** Remembers the message and the relay it is submitted to, and returns its id on the wire. */
+    String register(Message message, SocketRelay relay) {
+        while (messages.size() <= message.index) {
+            messages.add(null);
+            relayOfMessage.add(null);
         }
-        envelopes.set(e.index, e);
-        holders.set(e.index, host);
-        return "v" + e.index;
+        messages.set(message.index, message);
+        relayOfMessage.set(message.index, relay);
+        return "v" + message.index;
     }
 
-    private static int number(String id) {
+    /** The message index of an id, -1 for an id of another form. */
+    private static int index(String id) {
         return id.matches("v[0-9]{1,9}") ? Integer.parseInt(id.substring(1)) : -1;
     }
 
-    /** Null for one that nobody handed in. */
-    Envelope envelope(String id) {
-        int number = number(id);
-        return number >= 0 && number < envelopes.size() ? envelopes.get(number) : null;
+    /** The message of this id, null if no client submitted it. */
+    Message message(String id) {
+        int index = index(id);
+        return index >= 0 && index < messages.size() ? messages.get(index) : null;
     }
 
-    SocketHost holder(String id) {
-        return holders.get(number(id));
+    /** The relay that the message of this id was submitted to. */
+    SocketRelay relayOf(String id) {
+        return relayOfMessage.get(index(id));
     }
 
-    private void ended(String id, boolean handedBack, long pause) {
-        Envelope e = envelope(id);
-        if (e == null) {
-            say.println("a notice for an envelope that nobody handed in: " + id);
-        } else if (handedBack) {
-            world.referee.rejected(world.calendar.nowMicros(), e.index);
-            world.crowd.ended(e, true, pause);
+    /** A notice reports that a message was not delivered. */
+    private void messageEnded(String id, boolean rejected, long retryAfterMicros) {
+        Message message = message(id);
+        if (message == null) {
+            log.println("received a notice for a message that no client submitted: " + id);
+        } else if (rejected) {
+            world.referee.rejected(world.calendar.nowMicros(), message.index);
+            world.clients.endedWithoutDelivery(message, true, retryAfterMicros);
         } else {
-            world.referee.failed(world.calendar.nowMicros(), e.index);
-            world.crowd.ended(e, false, 0);
+            world.referee.failed(world.calendar.nowMicros(), message.index);
+            world.clients.endedWithoutDelivery(message, false, 0);
         }
     }
 
-    /** The list as it stands, to all relays. */
-    void tell() {
+    /** Has the platform send the current endpoint list to all relays. */
+    void publishList() {
         platform.publishList();
     }
 
-    /** A line of what a run came to. */
-    public static String tableRow(String what, World.RunResult o) {
-        return String.format(Locale.ROOT, "| %s | %.4f | %.4f | %.4f | %.4f | %.1f | %.1f | %d | %d |", what,
-            o.revenueShare(), o.deliveredShare(),
-            o.onTimeShare(), o.failedShare(), o.deliveryDelays().getValueAtPercentile(50) / 1e3,
-            o.deliveryDelays().getValueAtPercentile(99) / 1e3, o.submissions(),
-            o.violationCount());
+    /** Formats a run's results as a row of the result table of the command {@code load}. */
+    public static String tableRow(String label, World.RunResult result) {
+        return String.format(Locale.ROOT, "| %s | %.4f | %.4f | %.4f | %.4f | %.1f | %.1f | %d | %d |",
+            label, result.revenueShare(), result.deliveredShare(), result.onTimeShare(),
+            result.failedShare(), result.deliveryDelays().getValueAtPercentile(50) / 1e3,
+            result.deliveryDelays().getValueAtPercentile(99) / 1e3, result.submissions(),
+            result.violationCount());
     }
 }
--- a/lab/src/main/java/yewpath/lab/load/package-info.java
+++ b/lab/src/main/java/yewpath/lab/load/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The same scenario in real time: relays in processes of their own, met over sockets by the emulator's own clients and
- * endpoints, whose calendar here follows the clock; the same referee. Open loop: what is handed in does not wait.
+ * Plays a scenario in real time: the relays run in processes of their own, and the emulator's clients and
+ * endpoints talk to them over sockets. The event calendar follows the clock, and the same referee checks the
+ * run. The load is an open loop: submissions do not wait for earlier ones.
  */
 package yewpath.lab.load;
--- a/lab/src/main/java/yewpath/lab/policy/Policies.java
+++ b/lab/src/main/java/yewpath/lab/policy/Policies.java
@@ -8,198 +8,246 @@
 import yewpath.PolicySettings;
 import yewpath.lab.core.RandomStream;
 
-/** All policies by name. */
+/** All policies by the names that scenarios and results use. */
 public final class Policies {
-    /** What a policy is made from; {@code truth} gives the true room of an endpoint, for the oracle alone. */
-    public record Given(PolicySettings settings, long seed, PolicyActions out, RandomStream chance, long now,
-        IntToDoubleFunction truth) {}
+    /**
+     * What a policy is created from. {@code freeCapacity} returns the true free capacity of an endpoint, in
+     * calls; only the oracle may use it.
+     */
+    public record Context(PolicySettings settings, long seed, PolicyActions actions, RandomStream random,
+        long nowMicros, IntToDoubleFunction freeCapacity) {}
 
-    private interface Maker {
-        Policy make(Given given);
+    private interface Factory {
+        Policy create(Context context);
     }
 
-    private static final Map<String, Maker> ALL = new LinkedHashMap<>();
+    private static final Map<String, Factory> FACTORIES = new LinkedHashMap<>();
 
     static {
-        ALL.put("logic", g -> new LogicPolicy(g.settings, g.seed, g.out, g.now));
-        ALL.put("one-try", OneTry::new);
-        ALL.put("fixed", Fixed::new);
-        ALL.put("aimd", Aimd::new);
-        ALL.put("gradient", Gradient::new);
-        ALL.put("bucket-breaker", BucketBreaker::new);
-        ALL.put("two-choices", TwoChoices::new);
-        ALL.put("retry-budget", RetryBudget::new);
-        ALL.put("oracle", Oracle::new);
+        FACTORIES.put("logic", context -> new DeliveryPolicyAdapter(context.settings, context.seed,
+            context.actions, context.nowMicros));
+        FACTORIES.put("one-try", SingleAttempt::new);
+        FACTORIES.put("fixed", FixedLimit::new);
+        FACTORIES.put("aimd", Aimd::new);
+        FACTORIES.put("gradient", Gradient::new);
+        FACTORIES.put("bucket-breaker", BucketBreaker::new);
+        FACTORIES.put("two-choices", TwoChoices::new);
+        FACTORIES.put("retry-budget", RetryBudget::new);
+        FACTORIES.put("oracle", Oracle::new);
     }
 
     private Policies() {}
 
+    /** The names of all policies. */
     public static List<String> names() {
-        return List.copyOf(ALL.keySet());
+        return List.copyOf(FACTORIES.keySet());
     }
 
-    public static Policy make(String name, Given given) {
-        return ALL.get(name).make(given);
+    /** Creates the policy of this name, which must be one of {@link #names()}. */
+    public static Policy create(String name, Context context) {
+        return FACTORIES.get(name).create(context);
     }
 
-    /** Each envelope one shot at once, whatever comes of it: the floor of all comparisons. */
-    private static class OneTry extends Textbook {
-        OneTry(Given g) {
-            super(g.settings, g.out, g.chance, g.now);
+    /** One attempt for each message, at once, whatever its outcome: the lower bound of all comparisons. */
+    private static class SingleAttempt extends BaselinePolicy {
+        SingleAttempt(Context context) {
+            super(context.settings, context.actions, context.random, context.nowMicros);
         }
 
         @Override
-        int room(Lane lane) {
+        int maxAttemptsOut(DestinationState destination) {
             return Integer.MAX_VALUE;
         }
 
         @Override
-        boolean triesAgain(Held one) {
+        boolean shouldRetry(QueuedMessage message) {
             return false;
         }
     }
 
-    /** Eight shots out a destination and exponential backoff: what most clients are shipped with. */
-    private static final class Fixed extends Textbook {
-        Fixed(Given g) {
-            super(g.settings, g.out, g.chance, g.now);
+    /**
+     * At most eight attempts out to a destination, and exponential backoff: the default of most client
+     * libraries.
+     */
+    private static final class FixedLimit extends BaselinePolicy {
+        private static final int LIMIT = 8;
+
+        FixedLimit(Context context) {
+            super(context.settings, context.actions, context.random, context.nowMicros);
         }
 
         @Override
-        int room(Lane lane) {
-            return 8;
+        int maxAttemptsOut(DestinationState destination) {
+            return LIMIT;
         }
     }
 
-    /** Additive increase, multiplicative decrease of the shots out (Chiu and Jain 1989). */
-    private static class Aimd extends Textbook {
-        Aimd(Given g) {
-            super(g.settings, g.out, g.chance, g.now);
+    /** Additive increase, multiplicative decrease of the attempts out (Chiu and Jain 1989). */
+    private static class Aimd extends BaselinePolicy {
+        private static final int INITIAL_LIMIT = 8;
+        private static final int MAX_LIMIT = 1_000;
+        /**
+         * About one round trip: the attempts of one burst fail for one cause and reduce the limit only once.
+         */
+        private static final long MIN_DECREASE_INTERVAL_MICROS = 100_000;
+
+        Aimd(Context context) {
+            super(context.settings, context.actions, context.random, context.nowMicros);
         }
 
         @Override
-        int room(Lane lane) {
-            lane.limit = Double.isNaN(lane.limit) ? 8 : lane.limit;
-            return (int) lane.limit;
+        int maxAttemptsOut(DestinationState destination) {
+            destination.limit = Double.isNaN(destination.limit) ? INITIAL_LIMIT : destination.limit;
+            return (int) destination.limit;
         }
 
         @Override
-        void learn(Lane lane, int outcome, long elapsed) {
+        void onOutcome(DestinationState destination, int outcome, long elapsedMicros) {
             if (outcome == PolicyActions.DELIVERED) {
-                lane.limit = Math.min(1_000, lane.limit + 1 / Math.max(1, lane.limit));
+                destination.limit = Math.min(MAX_LIMIT,
+                    destination.limit + 1 / Math.max(1, destination.limit));
             } else if (outcome != PolicyActions.NOT_EXECUTED && outcome != PolicyActions.CANCELLED
-                && now - lane.since > 100_000) {
-                // Once a round trip or so: the shots of one burst fail for one cause.
-                lane.limit = Math.max(1, lane.limit / 2);
-                lane.since = now;
+                && nowMicros - destination.changedAtMicros > MIN_DECREASE_INTERVAL_MICROS) {
+                destination.limit = Math.max(1, destination.limit / 2);
+                destination.changedAtMicros = nowMicros;
             }
         }
     }
 
-    /** The limit follows the gradient of long to short delay (the Gradient2 limiter of Netflix's concurrency-limits, 2018). */
-    private static final class Gradient extends Textbook {
-        Gradient(Given g) {
-            super(g.settings, g.out, g.chance, g.now);
+    /**
+     * The limit follows the ratio of the long-term to the short-term mean delay (the Gradient2 limiter of
+     * Netflix's concurrency-limits, 2018).
+     */
+    private static final class Gradient extends BaselinePolicy {
+        private static final int INITIAL_LIMIT = 20;
+        private static final int MAX_LIMIT = 1_000;
+
+        Gradient(Context context) {
+            super(context.settings, context.actions, context.random, context.nowMicros);
         }
 
         @Override
-        int room(Lane lane) {
-            lane.limit = Double.isNaN(lane.limit) ? 20 : lane.limit;
-            return (int) lane.limit;
+        int maxAttemptsOut(DestinationState destination) {
+            destination.limit = Double.isNaN(destination.limit) ? INITIAL_LIMIT : destination.limit;
+            return (int) destination.limit;
         }
 
+        /**
+         * Keeps the long-term mean delay in {@code firstFigure} and the short-term mean in
+         * {@code secondFigure}.
+         */
         @Override
-        void learn(Lane lane, int outcome, long elapsed) {
+        void onOutcome(DestinationState destination, int outcome, long elapsedMicros) {
             if (outcome == PolicyActions.DELIVERED) {
-                lane.figure = lane.figure == 0 ? elapsed : lane.figure + (elapsed - lane.figure) / 100;
-                lane.second = lane.second == 0 ? elapsed : lane.second + (elapsed - lane.second) / 10;
-                double gradient = Math.max(0.5, Math.min(1, 1.5 * lane.figure / lane.second));
-                if (lane.out >= lane.limit / 2) {
-                    double wanted = lane.limit * gradient + Math.sqrt(lane.limit);
-                    lane.limit = Math.max(1, Math.min(1_000, lane.limit * 0.8 + wanted * 0.2));
+                destination.firstFigure = destination.firstFigure == 0 ? elapsedMicros
+                    : destination.firstFigure + (elapsedMicros - destination.firstFigure) / 100;
+                destination.secondFigure = destination.secondFigure == 0 ? elapsedMicros
+                    : destination.secondFigure + (elapsedMicros - destination.secondFigure) / 10;
+                double gradient = Math.max(0.5,
+                    Math.min(1, 1.5 * destination.firstFigure / destination.secondFigure));
+                if (destination.attemptsOut >= destination.limit / 2) {
+                    double target = destination.limit * gradient + Math.sqrt(destination.limit);
+                    destination.limit = Math.max(1,
+                        Math.min(MAX_LIMIT, destination.limit * 0.8 + target * 0.2));
                 }
             } else if (outcome == PolicyActions.OVERLOADED || outcome == PolicyActions.TIMEOUT) {
-                lane.limit = Math.max(1, lane.limit * 0.9);
+                destination.limit = Math.max(1, destination.limit * 0.9);
             }
         }
     }
 
-    /** A token bucket at the listed rate's part, and a circuit breaker (Nygard, Release It!, 2007): open for 1 s after five failures. */
-    private static final class BucketBreaker extends Textbook {
-        private static final int RUN = 5;
+    /**
+     * A token bucket filled at this relay's share of the listed rate, and a circuit breaker (Nygard, Release
+     * It!, 2007) that opens for one second after five failures in a row.
+     */
+    private static final class BucketBreaker extends BaselinePolicy {
+        private static final int FAILURES_TO_OPEN = 5;
+        private static final long OPEN_MICROS = 1_000_000;
         private final PolicySettings settings;
-        private final java.util.Map<Integer, Double> rates = new java.util.HashMap<>();
+        private final java.util.Map<Integer, Double> listedRates = new java.util.HashMap<>();
 
-        BucketBreaker(Given g) {
-            super(g.settings, g.out, g.chance, g.now);
-            settings = g.settings;
+        BucketBreaker(Context context) {
+            super(context.settings, context.actions, context.random, context.nowMicros);
+            settings = context.settings;
         }
 
         @Override
-        public void listed(int endpoint, int zone, int kind, int destination, int phase, double rate,
-            long since) {
-            rates.put(endpoint, rate);
-            super.listed(endpoint, zone, kind, destination, phase, rate, since);
+        public void endpointListed(int endpoint, int zone, int kind, int destination, int phase,
+            double callsPerSecond, long sinceMicros) {
+            listedRates.put(endpoint, callsPerSecond);
+            super.endpointListed(endpoint, zone, kind, destination, phase, callsPerSecond, sinceMicros);
         }
 
+        /**
+         * Keeps the time of the last refill in {@code firstFigure} and the tokens in {@code secondFigure}.
+         */
         @Override
-        int room(Lane lane) {
-            if (lane.run >= RUN) {
-                // Half open after a second: one shot tells.
-                return now - lane.since > 1_000_000 ? 1 : 0;
+        int maxAttemptsOut(DestinationState destination) {
+            if (destination.failuresInARow >= FAILURES_TO_OPEN) {
+                // After a second the breaker is half open: one attempt decides whether it closes.
+                return nowMicros - destination.changedAtMicros > OPEN_MICROS ? 1 : 0;
             }
-            double rate = rates.getOrDefault(lane.endpoints.get(0), 10.0) / Math.max(1, settings.relayCount);
-            lane.second += (now - (long) lane.figure) * rate / 1e6;
-            lane.second = Math.min(lane.second, Math.max(1, rate / 5));
-            lane.figure = now;
-            if (lane.second < 1) {
+            double rate = listedRates.getOrDefault(destination.endpoints.get(0), 10.0)
+                / Math.max(1, settings.relayCount);
+            destination.secondFigure += (nowMicros - (long) destination.firstFigure) * rate / 1e6;
+            destination.secondFigure = Math.min(destination.secondFigure, Math.max(1, rate / 5));
+            destination.firstFigure = nowMicros;
+            if (destination.secondFigure < 1) {
                 return 0;
             }
-            lane.second--;
+            destination.secondFigure--;
             return Integer.MAX_VALUE;
         }
 
         @Override
-        void learn(Lane lane, int outcome, long elapsed) {
+        void onOutcome(DestinationState destination, int outcome, long elapsedMicros) {
             if (outcome == PolicyActions.DELIVERED) {
-                lane.run = 0;
-            } else if (outcome != PolicyActions.NOT_EXECUTED && ++lane.run >= RUN) {
-                lane.since = now;
+                destination.failuresInARow = 0;
+            } else if (outcome != PolicyActions.NOT_EXECUTED
+                && ++destination.failuresInARow >= FAILURES_TO_OPEN) {
+                destination.changedAtMicros = nowMicros;
             }
         }
     }
 
-    /** Least outstanding of two drawn at random (Mitzenmacher 2001), over AIMD's limit. */
+    /**
+     * The endpoint with fewer calls out of two drawn at random (Mitzenmacher 2001), with the limit of AIMD.
+     */
     private static final class TwoChoices extends Aimd {
-        TwoChoices(Given g) {
-            super(g);
+        TwoChoices(Context context) {
+            super(context);
         }
 
         @Override
-        int choose(List<Integer> endpoints) {
-            int one = super.choose(endpoints);
-            int other = super.choose(endpoints);
-            return calls[other] < calls[one] ? other : one;
+        int chooseEndpoint(List<Integer> endpoints) {
+            int first = super.chooseEndpoint(endpoints);
+            int second = super.chooseEndpoint(endpoints);
+            return callsOut[second] < callsOut[first] ? second : first;
         }
     }
 
-    /** Tries again only while tries stay under a fifth of the first shots (the retry budget of Finagle and the SRE book, 2016). */
+    /**
+     * Retries only while retries stay below a fifth of the attempts (the retry budget of Finagle and the SRE
+     * book, 2016), with the limit of AIMD.
+     */
     private static final class RetryBudget extends Aimd {
+        private static final double MAX_BUDGET = 100;
+        private static final double BUDGET_PER_ATTEMPT = 0.2;
         private double budget = 10;
 
-        RetryBudget(Given g) {
-            super(g);
+        RetryBudget(Context context) {
+            super(context);
         }
 
         @Override
-        void learn(Lane lane, int outcome, long elapsed) {
-            super.learn(lane, outcome, elapsed);
-            budget = Math.min(100, budget + 0.2);
+        void onOutcome(DestinationState destination, int outcome, long elapsedMicros) {
+            super.onOutcome(destination, outcome, elapsedMicros);
+            budget = Math.min(MAX_BUDGET, budget + BUDGET_PER_ATTEMPT);
         }
 
         @Override
-        boolean triesAgain(Held one) {
-            if (budget < 1 || !super.triesAgain(one)) {
+        boolean shouldRetry(QueuedMessage message) {
+            if (budget < 1 || !super.shouldRetry(message)) {
                 return false;
             }
             budget--;
@@ -208,56 +256,61 @@
     }
 
     /**
-     * Sees each endpoint's true free room at the moment it sends, which no relay can. A bound where room is what decides; over
-     * capacity, what to refuse decides, and there it is a heuristic like the others.
+     * Sees each endpoint's true free capacity at the moment of sending, which no relay can. It is an upper
+     * bound where only the free capacity matters. In overload the choice of what to reject matters, and there
+     * it is a heuristic like the others.
      */
-    private static final class Oracle extends Textbook {
-        private final IntToDoubleFunction truth;
-
-        Oracle(Given g) {
-            super(g.settings, g.out, g.chance, g.now);
-            truth = g.truth;
+    private static final class Oracle extends BaselinePolicy {
+        private static final long RETRY_DELAY_MICROS = 1_000;
+        /** How many messages at the head of the queue are compared. */
+        private static final int MAX_COMPARED = 64;
+        private final IntToDoubleFunction freeCapacity;
+
+        Oracle(Context context) {
+            super(context.settings, context.actions, context.random, context.nowMicros);
+            freeCapacity = context.freeCapacity;
         }
 
         @Override
-        int room(Lane lane) {
-            double room = 0;
-            for (int endpoint : lane.endpoints) {
-                room = Math.max(room, truth.applyAsDouble(endpoint));
+        int maxAttemptsOut(DestinationState destination) {
+            double free = 0;
+            for (int endpoint : destination.endpoints) {
+                free = Math.max(free, freeCapacity.applyAsDouble(endpoint));
             }
-            return room >= 1 ? lane.out + 1 : 0;
+            return free >= 1 ? destination.attemptsOut + 1 : 0;
         }
 
         @Override
-        int choose(List<Integer> endpoints) {
+        int chooseEndpoint(List<Integer> endpoints) {
             int best = endpoints.get(0);
             for (int endpoint : endpoints) {
-                best = truth.applyAsDouble(endpoint) > truth.applyAsDouble(best) ? endpoint : best;
+                best = freeCapacity.applyAsDouble(endpoint) > freeCapacity.applyAsDouble(best) ? endpoint
+                    : best;
             }
             return best;
         }
 
         @Override
-        long pause(Held one) {
-            return 1_000;
+        long retryDelayMicros(QueuedMessage message) {
+            return RETRY_DELAY_MICROS;
         }
 
-        /** Those in time go first, dearest of the next few ahead; the late have what is left. */
+        /** Messages that are not late go first, and among equals the one with the highest revenue. */
         @Override
-        Held next(Lane lane) {
-            Held best = null;
-            int looked = 0;
-            for (Held one : lane.line) {
-                boolean better = best == null || isLate(best) && !isLate(one) || isLate(best) == isLate(one)
-                    && settings.messageClasses[one.offering]
-                        .revenue() > settings.messageClasses[best.offering]
-                            .revenue();
-                best = better ? one : best;
-                if (++looked == 64) {
+        QueuedMessage removeNext(DestinationState destination) {
+            QueuedMessage best = null;
+            int compared = 0;
+            for (QueuedMessage message : destination.queue) {
+                boolean better = best == null || isLate(best) && !isLate(message)
+                    || isLate(best) == isLate(message)
+                        && settings.messageClasses[message.messageClass]
+                            .revenue() > settings.messageClasses[best.messageClass].revenue();
+                best = better ? message : best;
+                if (++compared == MAX_COMPARED) {
                     break;
                 }
             }
-            lane.line.remove(best);
+            destination.queue.remove(best);
             return best;
         }
     }
--- a/lab/src/main/java/yewpath/lab/policy/Policy.java
+++ b/lab/src/main/java/yewpath/lab/policy/Policy.java
@@ -1,26 +1,31 @@
 package yewpath.lab.policy;
 
-/** What a relay tells whoever decides; the words and indices are those of {@link yewpath.DeliveryPolicy}. */
+/**
+ * The events that a relay reports to its policy. Methods, indices, units and constants are those of
+ * {@link yewpath.DeliveryPolicy}; the policy answers through {@link yewpath.PolicyActions}.
+ */
 public interface Policy {
-    void at(long clock);
+    /** Sets the time of the events that follow. */
+    void setTime(long nowMicros);
 
-    void taken(int id, int offering, int tenant, int key, int destination, long expiry, int shots,
-        long doubtSince,
-        int doubtZone);
+    void messageAccepted(int index, int messageClass, int tenant, int key, int destination,
+        long expiresAtMicros, int attempts, long uncertainSinceMicros, int uncertainZone);
 
-    void withdrawn(int id);
+    void messageWithdrawn(int index);
 
-    void settled(int id, boolean over, int shot, int endpoint, int outcome, long wait, long elapsed,
-        double left,
-        double limit);
+    void attemptEnded(int index, boolean finished, int attempt, int endpoint, int outcome,
+        long retryAfterMicros, long elapsedMicros, double remainingShare, double reportedLimit);
 
-    void listBegins(boolean whole, boolean cached);
+    void endpointListStarted(boolean complete, boolean cached);
 
-    void listed(int endpoint, int zone, int kind, int destination, int phase, double rate, long since);
+    void endpointListed(int endpoint, int zone, int kind, int destination, int phase, double callsPerSecond,
+        long sinceMicros);
 
-    void listEnds();
+    void endpointListEnded();
 
-    void due();
+    /** The alarm that the policy set is due. */
+    void alarmFired();
 
-    void turn();
+    /** Ends a round of events: the policy now decides what to send. */
+    void completeRound();
 }
--- a/lab/src/main/java/yewpath/lab/world/World.java
+++ b/lab/src/main/java/yewpath/lab/world/World.java
@@ -7,294 +7,350 @@
 import yewpath.lab.referee.Referee;
 import yewpath.lab.scenario.Scenario;
 
-/** One run: builds the world, plays it to its end, and tells what became of it. One thread; the same seed, the same run. */
+/**
+ * One run: builds the world of a scenario, plays it to its end and returns the results. It uses one thread,
+ * and the same seed always gives the same run.
+ */
 public final class World {
-    /** What a run comes to. Delays are in microseconds. */
+    /**
+     * The results of a run, of the requests created after the warm-up.
+     *
+     * @param revenueShare revenue earned as a share of the possible revenue, 1 if there was none to earn
+     * @param deliveredShare share of the requests that were delivered
+     * @param onTimeShare share of the requests that were delivered within the agreed time
+     * @param failedShare share of the requests that failed for good
+     * @param requests number of requests
+     * @param submissions messages submitted in the whole run, including resubmissions
+     * @param refusals submissions that a relay refused
+     * @param rejections messages that a relay accepted and rejected later
+     * @param collapses how often an endpoint collapsed while it was cold
+     * @param violationCount how often a rule was broken
+     * @param eventCount events that were executed
+     * @param decisionMicrosPerMessage time spent in the policy, in microseconds for each message submitted
+     * @param deliveryDelays delays from a request's creation to its delivery, in microseconds
+     * @param violations the first violations, with their traces
+     * @param samples the state of the world over the run
+     */
     public record RunResult(double revenueShare, double deliveredShare, double onTimeShare,
         double failedShare, long requests, long submissions, long refusals, long rejections, long collapses,
         int violationCount, long eventCount, double decisionMicrosPerMessage, Histogram deliveryDelays,
         java.util.List<String> violations, java.util.List<Sample> samples) {}
 
-    /** One of some hundred moments of a run: counts since the moment before, and what is held and served just then. */
+    /**
+     * The state of the world at one moment of a run. Requests, deliveries and refusals count from the sample
+     * before; the other components are counts at this moment.
+     */
     public record Sample(long atMicros, long requests, long deliveries, long refusedOrRejected,
         int openMessages, int callsInService, int callsQueued, int firstRelayOpenMessages,
         int firstRelayOpenCalls) {}
 
-    private static final int MOMENTS = 120;
+    /** Number of samples taken over a run. */
+    private static final int SAMPLE_COUNT = 120;
 
-    /** How long an ordered key rests after a shot that may still run, as relays are told. */
-    public static final long SETTLE = 500_000;
-    private static final long AFTER = 1_000_000;
-    public final Scenario s;
+    /**
+     * How long the next message of an ordered key waits after an attempt that may still run; part of the
+     * relays' settings.
+     */
+    public static final long SETTLE_AFTER_UNCERTAIN_MICROS = 500_000;
+    /** The run goes on this long after the last message has expired. */
+    private static final long RUN_ON_MICROS = 1_000_000;
+    /** The clients' load balancer notices a stopped relay after this time. */
+    private static final long RELAY_DOWN_DETECTION_MICROS = 2_000_000;
+    /** Margin that the emulator adds to each grace period of the rules. */
+    private static final long GRACE_MARGIN_MICROS = 50_000;
+    /** How long after a drain was listed the relay may still start calls to the endpoint. */
+    private static final long DRAIN_GRACE_MICROS = 250_000 + GRACE_MARGIN_MICROS;
+    /** How long after a wait was advertised a call may still arrive. */
+    private static final long RETRY_AFTER_GRACE_MICROS = 100_000 + GRACE_MARGIN_MICROS;
+    /** How long after its expiry a message's result may still come. */
+    private static final long EXPIRY_GRACE_MICROS = 300_000 + GRACE_MARGIN_MICROS;
+    public final Scenario scenario;
     final String policyName;
     final long seed;
     public final EventCalendar calendar = new EventCalendar();
     public final Referee referee;
-    public final Station[] stations;
-    public final Crowd crowd;
-    private final Place[] places;
-    private final Host[] relays;
-    /** Which relays the front takes to be up. */
-    private final boolean[] fronted;
+    public final EmulatedEndpoint[] endpoints;
+    public final ClientPopulation clients;
+    private final Destination[] destinations;
+    private final Relay[] relays;
+    /** By relay, whether the clients' load balancer considers it to be up. */
+    private final boolean[] inLoadBalancer;
     private final RandomStream network;
     private final RandomStream losses;
-    private final RandomStream troubles;
-    private boolean[] cut;
-    private final java.util.List<Sample> series = new java.util.ArrayList<>();
+    private final RandomStream faultTargets;
+    /** By endpoint, whether it is cut off from every second relay. */
+    private boolean[] partitioned;
+    private final java.util.List<Sample> samples = new java.util.ArrayList<>();
 
-    /** Makes a relay of a world: emulated, or another kind. */
-    public interface Maker {
-        Host make(World world, int index);
+    /** Creates the relays of a world, emulated ones or others. */
+    public interface RelayFactory {
+        Relay create(World world, int index);
     }
 
     public World(Scenario scenario, String policyName, long seed) {
-        this(scenario, policyName, seed, RelayHost::new);
+        this(scenario, policyName, seed, EmulatedRelay::new);
     }
 
-    public World(Scenario scenario, String policyName, long seed, Maker maker) {
-        s = scenario;
+    public World(Scenario scenario, String policyName, long seed, RelayFactory relayFactory) {
+        this.scenario = scenario;
         this.policyName = policyName;
         this.seed = seed;
-        // Baselines break what they break by design: they are counted, not stopped.
-        referee = new Referee(s.strict, 250_000 + 50_000, 100_000 + 50_000, 300_000 + 50_000);
-        network = chance("network");
-        losses = chance("losses");
-        troubles = chance("troubles");
-        places = new Place[s.destinationCount];
-        stations = new Station[s.destinationCount * s.endpointsPerDestination];
-        for (int i = 0; i < places.length; i++) {
-            places[i] = new Place(i, s);
+        // Baseline policies break some rules by design: outside of strict scenarios a violation only counts.
+        referee = new Referee(scenario.strict, DRAIN_GRACE_MICROS, RETRY_AFTER_GRACE_MICROS,
+            EXPIRY_GRACE_MICROS);
+        network = randomStream("network");
+        losses = randomStream("losses");
+        faultTargets = randomStream("troubles");
+        destinations = new Destination[scenario.destinationCount];
+        endpoints = new EmulatedEndpoint[scenario.destinationCount * scenario.endpointsPerDestination];
+        for (int i = 0; i < destinations.length; i++) {
+            destinations[i] = new Destination(i, scenario);
         }
-        RandomStream faults = chance("faults");
-        RandomStream service = chance("service");
-        for (int i = 0; i < stations.length; i++) {
-            stations[i] = new Station(i, places[i / s.endpointsPerDestination], s, calendar, referee, service,
-                faults);
+        RandomStream faults = randomStream("faults");
+        RandomStream serviceTimes = randomStream("service");
+        for (int i = 0; i < endpoints.length; i++) {
+            endpoints[i] = new EmulatedEndpoint(i, destinations[i / scenario.endpointsPerDestination],
+                scenario,
+                calendar, referee, serviceTimes, faults);
         }
-        cut = new boolean[stations.length];
-        crowd = new Crowd(this);
-        relays = new Host[s.relayCount];
-        fronted = new boolean[s.relayCount];
+        partitioned = new boolean[endpoints.length];
+        clients = new ClientPopulation(this);
+        relays = new Relay[scenario.relayCount];
+        inLoadBalancer = new boolean[scenario.relayCount];
         for (int i = 0; i < relays.length; i++) {
-            relays[i] = maker.make(this, i);
-            fronted[i] = true;
+            relays[i] = relayFactory.create(this, i);
+            inLoadBalancer[i] = true;
         }
     }
 
-    RandomStream chance(String cause) {
-        return new RandomStream(seed, cause);
+    /** Random numbers for one purpose, independent of those for other purposes. */
+    RandomStream randomStream(String purpose) {
+        return new RandomStream(seed, purpose);
     }
 
-    static Referee.DeliverySemantics kind(String word) {
+    static Referee.DeliverySemantics semantics(String word) {
         return Referee.DeliverySemantics.ofWord(word);
     }
 
-    /** Plays the run. A broken rule in a strict scenario ends it by {@link Referee.RuleViolation}. */
+    /**
+     * Plays the run and returns its results.
+     *
+     * @throws Referee.RuleViolation when a rule is broken in a strict scenario
+     */
     public RunResult run() {
-        begin();
-        calendar.runUntil(end());
-        return close();
+        start();
+        calendar.runUntil(endMicros());
+        return finish();
     }
 
-    /** Enters all that the scenario has; the calendar does the rest. */
-    public void begin() {
-        crowd.begin();
-        look(0, 0, 0);
-        for (Scenario.Fault trouble : s.faults) {
-            calendar.scheduleAt(trouble.startMicros(), () -> begin(trouble));
+    /** Schedules the first arrival, the first sample and all faults; further events follow from these. */
+    public void start() {
+        clients.start();
+        scheduleSample(0, 0, 0);
+        for (Scenario.Fault fault : scenario.faults) {
+            calendar.scheduleAt(fault.startMicros(), () -> begin(fault));
         }
     }
 
-    /** When all that was handed in has come to its end. */
-    public long end() {
-        long longest = 0;
-        for (Scenario.MessageClass offering : s.messageClasses) {
-            longest = Math.max(longest, offering.timeToLiveMicros());
+    /** When every message submitted has been delivered or has expired, in microseconds from the start. */
+    public long endMicros() {
+        long longestTimeToLive = 0;
+        for (Scenario.MessageClass messageClass : scenario.messageClasses) {
+            longestTimeToLive = Math.max(longestTimeToLive, messageClass.timeToLiveMicros());
         }
-        return s.lengthMicros + longest + AFTER;
+        return scenario.lengthMicros + longestTimeToLive + RUN_ON_MICROS;
     }
 
-    /** Closes the books and tells what the run came to. */
-    public RunResult close() {
-        referee.checkLost(calendar.nowMicros(), crowd.envelopes());
-        long falls = 0;
-        for (Station one : stations) {
-            falls += one.falls;
+    /** Checks for lost messages and returns the results of the run. */
+    public RunResult finish() {
+        referee.checkLost(calendar.nowMicros(), clients.messagesSubmitted());
+        long collapses = 0;
+        for (EmulatedEndpoint endpoint : endpoints) {
+            collapses += endpoint.collapses;
         }
-        long nanos = 0;
-        for (Host relay : relays) {
-            nanos += relay.decideNanos();
+        long decisionNanos = 0;
+        for (Relay relay : relays) {
+            decisionNanos += relay.decisionNanos();
         }
-        double wishes = Math.max(1, crowd.wishes);
-        return new RunResult(crowd.possible == 0 ? 1 : crowd.revenue / crowd.possible,
-            crowd.fulfilled / wishes,
-            crowd.inAgreedTime / wishes, crowd.failed / wishes, crowd.wishes, crowd.handIns, crowd.refusals,
-            crowd.deferrals, falls,
-            referee.violationCount(), calendar.executedCount(), nanos / 1e3 / Math.max(1, crowd.envelopes()),
-            crowd.delays,
-            referee.firstViolations(), java.util.List.copyOf(series));
+        double requests = Math.max(1, clients.requests);
+        return new RunResult(clients.possibleRevenue == 0 ? 1 : clients.revenue / clients.possibleRevenue,
+            clients.delivered / requests, clients.deliveredOnTime / requests, clients.failed / requests,
+            clients.requests, clients.submissions, clients.refusals, clients.rejections, collapses,
+            referee.violationCount(), calendar.executedCount(),
+            decisionNanos / 1e3 / Math.max(1, clients.messagesSubmitted()), clients.deliveryDelays,
+            referee.firstViolations(), java.util.List.copyOf(samples));
     }
 
-    private void look(long wished, long fulfilled, long refused) {
-        calendar.scheduleAfter(Math.max(1, s.lengthMicros / MOMENTS), () -> {
-            int held = 0;
-            for (Host relay : relays) {
-                held += relay.open();
+    /** Schedules the next sample; the parameters are the totals at the sample before. */
+    private void scheduleSample(long requestsBefore, long deliveriesBefore, long refusedOrRejectedBefore) {
+        calendar.scheduleAfter(Math.max(1, scenario.lengthMicros / SAMPLE_COUNT), () -> {
+            int openMessages = 0;
+            for (Relay relay : relays) {
+                openMessages += relay.openMessages();
             }
-            int serving = 0;
-            int waiting = 0;
-            for (Station one : stations) {
-                serving += one.serving();
-                waiting += one.waiting();
+            int callsInService = 0;
+            int callsQueued = 0;
+            for (EmulatedEndpoint endpoint : endpoints) {
+                callsInService += endpoint.callsInService();
+                callsQueued += endpoint.callsQueued();
             }
-            series
-                .add(new Sample(calendar.nowMicros(), crowd.wishesEver() - wished,
-                    crowd.fulfilledEver - fulfilled,
-                    crowd.refusals + crowd.deferrals - refused, held, serving, waiting, relays[0].open(),
-                    relays[0].callsOut()));
-            if (calendar.nowMicros() < s.lengthMicros) {
-                look(crowd.wishesEver(), crowd.fulfilledEver, crowd.refusals + crowd.deferrals);
+            samples.add(new Sample(calendar.nowMicros(), clients.requestsCreated() - requestsBefore,
+                clients.deliveredIncludingWarmUp - deliveriesBefore,
+                clients.refusals + clients.rejections - refusedOrRejectedBefore, openMessages, callsInService,
+                callsQueued, relays[0].openMessages(), relays[0].openCalls()));
+            if (calendar.nowMicros() < scenario.lengthMicros) {
+                scheduleSample(clients.requestsCreated(), clients.deliveredIncludingWarmUp,
+                    clients.refusals + clients.rejections);
             }
         });
     }
 
-    // ---- Troubles
+    // ---- Faults
 
-    private void begin(Scenario.Fault trouble) {
+    private void begin(Scenario.Fault fault) {
         int first = 0;
-        switch (trouble.type()) {
+        switch (fault.type()) {
             case "burst" -> {
-                crowd.burst *= trouble.amount();
-                calendar.scheduleAfter(trouble.durationMicros(), () -> crowd.burst /= trouble.amount());
+                clients.rateFactor *= fault.amount();
+                calendar.scheduleAfter(fault.durationMicros(), () -> clients.rateFactor /= fault.amount());
             }
             case "relay-kill", "relay-lost" -> {
-                int count = Math.max(1, (int) Math.round(trouble.share() * relays.length));
-                first = troubles.nextInt(relays.length);
+                int count = Math.max(1, (int) Math.round(fault.share() * relays.length));
+                first = faultTargets.nextInt(relays.length);
                 for (int i = 0; i < count; i++) {
-                    kill((first + i) % relays.length, trouble);
+                    kill((first + i) % relays.length, fault);
                 }
             }
             default -> {
-                int count = Math.max(1, (int) Math.round(trouble.share() * places.length));
-                first = troubles.nextInt(places.length);
+                int count = Math.max(1, (int) Math.round(fault.share() * destinations.length));
+                first = faultTargets.nextInt(destinations.length);
                 for (int i = 0; i < count; i++) {
-                    int place = (first + i) % places.length;
-                    for (int j = 0; j < s.endpointsPerDestination; j++) {
-                        Station one = stations[place * s.endpointsPerDestination + j];
-                        turn(one, trouble, true);
-                        calendar.scheduleAfter(trouble.durationMicros(), () -> turn(one, trouble, false));
+                    int destination = (first + i) % destinations.length;
+                    for (int j = 0; j < scenario.endpointsPerDestination; j++) {
+                        EmulatedEndpoint endpoint = endpoints[destination * scenario.endpointsPerDestination
+                            + j];
+                        setFault(endpoint, fault, true);
+                        calendar.scheduleAfter(fault.durationMicros(),
+                            () -> setFault(endpoint, fault, false));
                     }
                 }
             }
         }
     }
 
-    private void turn(Station one, Scenario.Fault trouble, boolean on) {
-        switch (trouble.type()) {
-            case "silent" -> one.silent = on;
+    private void setFault(EmulatedEndpoint endpoint, Scenario.Fault fault, boolean active) {
+        switch (fault.type()) {
+            case "silent" -> endpoint.silent = active;
             case "refuse" -> {
-                one.refusing = on;
-                if (on) {
-                    one.drop();
+                endpoint.refusing = active;
+                if (active) {
+                    endpoint.dropQueue();
                 } else {
-                    one.comesBackCold();
+                    endpoint.restartCold();
                 }
             }
             case "vanish" -> {
-                one.vanished = on;
-                if (!on) {
-                    one.comesBackCold();
+                endpoint.vanished = active;
+                if (!active) {
+                    endpoint.restartCold();
                 }
             }
-            case "slow" -> one.slow = on ? trouble.amount() : 1;
-            case "errors" -> one.errors = on ? trouble.amount() : 0;
-            case "resets" -> one.resets = on ? trouble.amount() : 0;
-            case "limit" -> one.place.limitFactor = on ? trouble.amount() : 1;
-            case "partition" -> cut[one.index] = on;
+            case "slow" -> endpoint.slowdownFactor = active ? fault.amount() : 1;
+            case "errors" -> endpoint.errorProbability = active ? fault.amount() : 0;
+            case "resets" -> endpoint.resetProbability = active ? fault.amount() : 0;
+            case "limit" -> endpoint.destination.limitFactor = active ? fault.amount() : 1;
+            case "partition" -> partitioned[endpoint.index] = active;
             case "drain" -> {
-                one.draining = on;
-                calendar.scheduleAfter(s.directoryDelayMicros, () -> {
-                    for (Host relay : relays) {
-                        relay.listed(one);
+                endpoint.draining = active;
+                calendar.scheduleAfter(scenario.directoryDelayMicros, () -> {
+                    for (Relay relay : relays) {
+                        relay.endpointListed(endpoint);
                     }
                 });
             }
-            default -> throw new IllegalArgumentException("unknown trouble " + trouble.type());
+            default -> throw new IllegalArgumentException("unknown trouble " + fault.type());
         }
     }
 
-    private void kill(int which, Scenario.Fault trouble) {
-        Host relay = relays[which];
+    private void kill(int index, Scenario.Fault fault) {
+        Relay relay = relays[index];
         if (!relay.isUp()) {
             return;
         }
-        relay.dies(trouble.type().equals("relay-kill"));
-        // The front notices after some seconds.
-        calendar.scheduleAfter(Math.min(trouble.durationMicros(), 2_000_000),
-            () -> fronted[which] = relay.isUp());
-        calendar.scheduleAfter(trouble.durationMicros(), () -> {
-            relay.returns();
-            fronted[which] = true;
+        relay.kill(fault.type().equals("relay-kill"));
+        calendar.scheduleAfter(Math.min(fault.durationMicros(), RELAY_DOWN_DETECTION_MICROS),
+            () -> inLoadBalancer[index] = relay.isUp());
+        calendar.scheduleAfter(fault.durationMicros(), () -> {
+            relay.restart();
+            inLoadBalancer[index] = true;
         });
     }
 
     // ---- What relays and clients ask of the world
 
-    Host choose(RandomStream chance) {
-        int first = chance.nextInt(relays.length);
+    /**
+     * The relay that a client's next submission goes to: a random one of those that the load balancer
+     * considers up.
+     */
+    Relay chooseRelay(RandomStream random) {
+        int first = random.nextInt(relays.length);
         for (int i = 0; i < relays.length; i++) {
-            int at = (first + i) % relays.length;
-            if (fronted[at]) {
-                return relays[at];
+            int candidate = (first + i) % relays.length;
+            if (inLoadBalancer[candidate]) {
+                return relays[candidate];
             }
         }
         return relays[first];
     }
 
-    long trip() {
-        return Math.max(1, Math.round(network.logNormal(s.networkDelayMicros, s.networkDelaySigma)));
+    /** Draws the delay of one message over the network, in microseconds. */
+    long networkDelay() {
+        return Math.max(1,
+            Math.round(network.logNormal(scenario.networkDelayMicros, scenario.networkDelaySigma)));
     }
 
-    boolean lost() {
-        return losses.nextBoolean(s.answerLossProbability);
+    /** Draws whether a response is lost. */
+    boolean isLost() {
+        return losses.nextBoolean(scenario.answerLossProbability);
     }
 
-    boolean parted(int relay, Station from) {
-        return cut[from.index] && relay % 2 == 0;
+    /** Whether the endpoint is cut off from this relay; a partition affects the relays with an even index. */
+    boolean isPartitioned(int relay, EmulatedEndpoint endpoint) {
+        return partitioned[endpoint.index] && relay % 2 == 0;
     }
 
-    /** What discovery tells of an endpoint's rate. */
+    /** The rate that discovery reports for an endpoint, in calls a second. */
     public double listedRate() {
-        return s.callsPerSecondLimit > 0 ? s.callsPerSecondLimit
-            : s.endpointsPerDestination * s.endpointCapacity * 1e6 / s.meanServiceMicros;
+        return scenario.callsPerSecondLimit > 0 ? scenario.callsPerSecondLimit
+            : scenario.endpointsPerDestination * scenario.endpointCapacity * 1e6 / scenario.meanServiceMicros;
     }
 
-    PolicySettings settings(int self) {
-        PolicySettings t = new PolicySettings();
-        t.relayCount = s.relayCount;
-        t.relayIndex = self;
-        t.maxConcurrentCalls = s.maxConcurrentCalls;
-        t.maxOpenMessages = s.maxOpenMessages;
-        t.maxAttempts = s.maxAttempts;
-        t.cancelAllowed = true;
-        t.listReportsRate = true;
-        t.reportsRetryAfter = true;
-        t.maxRetryAfterMicros = 10_000_000;
-        t.warmUpInitialShare = s.endpointWarmUpInitialShare;
-        t.warmUpMicros = s.endpointWarmUpMicros;
-        t.collapseMultiple = s.collapseMultiple;
-        t.collapseWindowMicros = s.collapseMicros;
-        t.settleAfterUncertainMicros = SETTLE;
-        t.connectTimeoutMicros = s.connectTimeoutMicros;
-        t.idleConnectionTimeoutMicros = s.idleConnectionTimeoutMicros;
-        t.limitPerEndpoint = new boolean[1];
-        t.maxBatchSize = new int[]{1};
-        t.messageClasses = s.messageClasses.stream()
-            .map(o -> new PolicySettings.MessageClass(o.revenue(), o.lateRevenueShare(), o.onTimeMicros(),
-                o.timeToLiveMicros(),
-                PolicySettings.DeliverySemantics.ofWord(o.semantics()), false, o.deduplicationMicros(),
-                o.ordered()))
+    PolicySettings settings(int relayIndex) {
+        PolicySettings settings = new PolicySettings();
+        settings.relayCount = scenario.relayCount;
+        settings.relayIndex = relayIndex;
+        settings.maxConcurrentCalls = scenario.maxConcurrentCalls;
+        settings.maxOpenMessages = scenario.maxOpenMessages;
+        settings.maxAttempts = scenario.maxAttempts;
+        settings.cancelAllowed = true;
+        settings.listReportsRate = true;
+        settings.reportsRetryAfter = true;
+        settings.maxRetryAfterMicros = 10_000_000;
+        settings.warmUpInitialShare = scenario.endpointWarmUpInitialShare;
+        settings.warmUpMicros = scenario.endpointWarmUpMicros;
+        settings.collapseMultiple = scenario.collapseMultiple;
+        settings.collapseWindowMicros = scenario.collapseMicros;
+        settings.settleAfterUncertainMicros = SETTLE_AFTER_UNCERTAIN_MICROS;
+        settings.connectTimeoutMicros = scenario.connectTimeoutMicros;
+        settings.idleConnectionTimeoutMicros = scenario.idleConnectionTimeoutMicros;
+        settings.limitPerEndpoint = new boolean[1];
+        settings.maxBatchSize = new int[]{1};
+        settings.messageClasses = scenario.messageClasses.stream()
+            .map(messageClass -> new PolicySettings.MessageClass(messageClass.revenue(),
+                messageClass.lateRevenueShare(), messageClass.onTimeMicros(), messageClass.timeToLiveMicros(),
+                PolicySettings.DeliverySemantics.ofWord(messageClass.semantics()), false,
+                messageClass.deduplicationMicros(), messageClass.ordered()))
             .toArray(PolicySettings.MessageClass[]::new);
-        return t;
+        return settings;
     }
 }
