--- a/lab/src/main/java/yewpath/lab/FootprintBenchmark.java
+++ b/lab/src/main/java/yewpath/lab/FootprintBenchmark.java
@@ -6,51 +6,57 @@
 import yewpath.PolicyActions;
 import yewpath.PolicySettings;
 
-/** What Logic keeps, in bytes of heap: for ordered keys long over, and for destinations at rest. */
+/**
+ * Measures the heap that the delivery policy keeps for ordered keys whose messages are finished and for idle
+ * destinations, in bytes for each.
+ */
 final class FootprintBenchmark {
-    private static final long SECOND = 1_000_000;
-    private final PrintStream say;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long TIME_TO_LIVE_MICROS = 8 * SECOND_MICROS;
+    private static final int IDLE_SECONDS = 60;
+    private final PrintStream output;
 
-    FootprintBenchmark(PrintStream say) {
-        this.say = say;
+    FootprintBenchmark(PrintStream output) {
+        this.output = output;
     }
 
+    /** Prints the table for this number of keys and destinations, and returns the exit code. */
     int run(int count) {
-        say.println("| what | number | bytes each |\n| --- | --- | --- |");
-        tell("ordered keys, each over since a minute", count, count, 1);
-        tell("destinations listed with one endpoint, none used", 0, count, count);
-        tell("destinations after one envelope each and a minute of rest", count, count, count);
+        output.println("| what | number | bytes each |\n| --- | --- | --- |");
+        measure("ordered keys, each finished for a minute", count, count, 1);
+        measure("destinations listed with one endpoint, not used", 0, count, count);
+        measure("destinations idle for a minute after one message each", count, count, count);
         return 0;
     }
 
-    private void tell(String what, int envelopes, int count, int destinations) {
+    private void measure(String label, int messages, int count, int destinations) {
         PolicySettings settings = new PolicySettings();
         settings.relayCount = 1;
         settings.maxConcurrentCalls = 1_000;
-        settings.settleAfterUncertainMicros = SECOND / 2;
+        settings.settleAfterUncertainMicros = SECOND_MICROS / 2;
         settings.listReportsRate = true;
         settings.messageClasses = new PolicySettings.MessageClass[]{
-            new PolicySettings.MessageClass(1, 0.1, SECOND, 8 * SECOND,
+            new PolicySettings.MessageClass(1, 0.1, SECOND_MICROS, TIME_TO_LIVE_MICROS,
                 PolicySettings.DeliverySemantics.IDEMPOTENT, false, 0,
                 destinations == 1)};
         settings.limitPerEndpoint = new boolean[1];
         settings.maxBatchSize = new int[]{1};
-        long[] clock = {0};
+        long[] nowMicros = {0};
         int[] sentTo = {-1};
-        DeliveryPolicy logic = new DeliveryPolicy(settings, 1, new PolicyActions() {
+        DeliveryPolicy policy = new DeliveryPolicy(settings, 1, new PolicyActions() {
             @Override
-            public void send(int envelope, int endpoint, long withinMicros, long leaveBy) {
+            public void send(int message, int endpoint, long timeoutMicros, long sendByMicros) {
                 sentTo[0] = endpoint;
             }
 
             @Override
-            public void reject(int envelope, long pauseMicros) {}
+            public void reject(int message, long retryAfterMicros) {}
 
             @Override
-            public void fail(int envelope) {}
+            public void fail(int message) {}
 
             @Override
-            public void cancelAttempt(int envelope, int shot) {}
+            public void cancelAttempt(int message, int attempt) {}
 
             @Override
             public void closeIdleConnections(int endpoint) {}
@@ -59,52 +65,54 @@
             public void releaseEndpoint(int endpoint) {}
 
             @Override
-            public void setAlarm(long inMicros) {}
+            public void setAlarm(long delayMicros) {}
 
             @Override
-            public void requestEndpointList(boolean follow) {}
+            public void requestEndpointList(boolean subscribe) {}
         }, 0);
-        long before = used();
-        logic.endpointListStarted(true, false);
+        long bytesBefore = usedHeapBytes();
+        policy.endpointListStarted(true, false);
         for (int i = 0; i < destinations; i++) {
-            logic.endpointListed(i, 0, 0, i, 0, 1_000, 0);
+            policy.endpointListed(i, 0, 0, i, 0, 1_000, 0);
         }
-        logic.endpointListEnded();
-        logic.completeRound(true);
-        for (int i = 0; i < envelopes; i++) {
-            clock[0] += 2_000;
-            logic.setTime(clock[0]);
+        policy.endpointListEnded();
+        policy.completeRound(true);
+        for (int i = 0; i < messages; i++) {
+            nowMicros[0] += 2_000;
+            policy.setTime(nowMicros[0]);
             sentTo[0] = -1;
-            // The index is used again, as relays do: what is counted is what is kept beyond the envelope.
-            logic.messageAccepted(0, 0, -1, destinations == 1 ? i : -1, i % destinations,
-                clock[0] + 8 * SECOND, 0, -1,
+            // The index is reused, as relays do, so that only what outlives the message is measured.
+            policy.messageAccepted(0, 0, -1, destinations == 1 ? i : -1, i % destinations,
+                nowMicros[0] + TIME_TO_LIVE_MICROS, 0, -1,
                 0);
-            logic.completeRound(true);
+            policy.completeRound(true);
             if (sentTo[0] >= 0) {
-                logic.attemptEnded(0, true, 0, sentTo[0], PolicyActions.DELIVERED, 0, 1_000, Double.NaN,
+                policy.attemptEnded(0, true, 0, sentTo[0], PolicyActions.DELIVERED, 0, 1_000, Double.NaN,
                     Double.NaN);
             }
-            logic.alarmFired();
-            logic.completeRound(true);
+            policy.alarmFired();
+            policy.completeRound(true);
         }
-        for (int second = 0; second < 60; second++) {
-            clock[0] += SECOND;
-            logic.setTime(clock[0]);
-            logic.alarmFired();
-            logic.completeRound(true);
+        for (int second = 0; second < IDLE_SECONDS; second++) {
+            nowMicros[0] += SECOND_MICROS;
+            policy.setTime(nowMicros[0]);
+            policy.alarmFired();
+            policy.completeRound(true);
         }
-        say.printf(Locale.ROOT, "| %s | %d | %.0f |%n", what, count, (used() - before) / (double) count);
-        // Kept reachable until its heap was counted.
-        logic.setTime(clock[0]);
+        output.printf(Locale.ROOT, "| %s | %d | %.0f |%n", label, count,
+            (usedHeapBytes() - bytesBefore) / (double) count);
+        // Keeps the policy reachable until its heap has been measured.
+        policy.setTime(nowMicros[0]);
     }
 
-    private static long used() {
+    /** The least heap in use over several garbage collections, in bytes. */
+    private static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
-        long least = Long.MAX_VALUE;
+        long leastBytes = Long.MAX_VALUE;
         for (int i = 0; i < 5; i++) {
             System.gc();
-            least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+            leastBytes = Math.min(leastBytes, runtime.totalMemory() - runtime.freeMemory());
         }
-        return least;
+        return leastBytes;
     }
 }
