--- a/lab/src/main/java/yewpath/lab/Main.java
+++ b/lab/src/main/java/yewpath/lab/Main.java
@@ -11,134 +11,137 @@
 import java.util.List;
 import yewpath.configuration.ConfigurationException;
 import yewpath.lab.load.Live;
-import yewpath.lab.report.Compare;
-import yewpath.lab.report.Report;
+import yewpath.lab.report.HtmlReport;
+import yewpath.lab.report.PairedComparison;
+import yewpath.lab.run.ExperimentRunner;
 import yewpath.lab.run.Results;
-import yewpath.lab.run.Runs;
-import yewpath.lab.run.Search;
+import yewpath.lab.run.WorstCaseSearch;
 import yewpath.lab.scenario.ScenarioFile;
 import yewpath.lab.world.World;
 
-/** The command line of the lab. Exit codes: 0 done; 1 it went wrong; 2 the words were not understood. */
+/**
+ * The command line of the lab. Exit codes: 0 for success, 1 for a failure or a violated rule, 2 for invalid
+ * arguments or an invalid scenario file.
+ */
 public final class Main {
-    @Parameters(commandDescription = "Start relays of several checkouts in turn: time until ready, memory, CPU of a load")
-    private static final class StartsWord {
-        @Parameter(description = "CHECKOUT ... (folders with deploy/run.sh, built)", required = true)
+    @Parameters(commandDescription = "Compare relays of several checkouts: time until ready, memory, and CPU time under a load")
+    private static final class StartsCommand {
+        @Parameter(description = "CHECKOUT ... (built folders that contain deploy/run.sh)", required = true)
         List<String> checkouts = new ArrayList<>();
-        @Parameter(names = "--times", description = "Starts of each that count, 1 to 100")
+        @Parameter(names = "--times", description = "Measured starts of each checkout, 1 to 100")
         int times = 5;
-        @Parameter(names = "--envelopes", description = "Envelopes handed in at each start, 1 to 100000")
-        int envelopes = 2_000;
-        @Parameter(names = "--rate", description = "Envelopes a second, 1 to 5000")
+        @Parameter(names = "--envelopes", description = "Messages submitted at each start, 1 to 100000")
+        int messageCount = 2_000;
+        @Parameter(names = "--rate", description = "Messages per second, 1 to 5000")
         int rate = 400;
-        @Parameter(names = "--destinations", description = "Destinations listed, with one endpoint each, 1 to 10000")
+        @Parameter(names = "--destinations", description = "Destinations with one endpoint each, 1 to 10000")
         int destinations = 4;
     }
 
-    @Parameters(commandDescription = "Bytes of heap that Logic keeps for a key long over and for a destination at rest")
-    private static final class FootprintWord {
-        @Parameter(names = "--count", description = "How many of each, 1000 to 1000000")
+    @Parameters(commandDescription = "Heap that the delivery policy uses for a key without open messages and for an idle destination, in bytes")
+    private static final class FootprintCommand {
+        @Parameter(names = "--count", description = "Number of keys and of destinations, 1000 to 1000000")
         int count = 100_000;
     }
 
-    @Parameters(commandDescription = "Play a scenario's runs over all cores; what the folder holds already is not played again")
-    private static final class RunWord {
+    @Parameters(commandDescription = "Run a scenario; runs whose results are already in the folder are skipped")
+    private static final class RunCommand {
         @Parameter(description = "FILE", required = true)
         List<String> files = new ArrayList<>();
-        @Parameter(names = "--to", description = "Folder of the results; found/NAME where absent")
+        @Parameter(names = "--to", description = "Folder of the results; by default found/NAME")
         String to;
-        @Parameter(names = "--threads", description = "Runs at once; all cores where absent")
+        @Parameter(names = "--threads", description = "Concurrent runs; by default one per core")
         int threads = Runtime.getRuntime().availableProcessors();
     }
 
-    @Parameters(commandDescription = "Pair two folders by seed and point, or two policies of one folder")
-    private static final class CompareWord {
+    @Parameters(commandDescription = "Compare the runs of two folders, or two policies of one folder, in pairs of the same seed and point")
+    private static final class CompareCommand {
         @Parameter(description = "A [B]", required = true)
         List<String> folders = new ArrayList<>();
-        @Parameter(names = "--policies", description = "Two of them, joined by a comma; needed with one folder")
+        @Parameter(names = "--policies", description = "Two policies separated by a comma; required with one folder")
         List<String> policies = new ArrayList<>();
-        @Parameter(names = "--figures", description = "Which figures")
-        List<String> figures = new ArrayList<>(List.of("service", "in_time", "p99_ms"));
+        @Parameter(names = "--figures", description = "Metrics to compare, separated by commas")
+        List<String> metrics = new ArrayList<>(List.of("service", "in_time", "p99_ms"));
     }
 
-    @Parameters(commandDescription = "Make a folder's page with plots")
-    private static final class ReportWord {
+    @Parameters(commandDescription = "Write an HTML report with plots of a folder of results")
+    private static final class ReportCommand {
         @Parameter(description = "FOLDER", required = true)
         List<String> folders = new ArrayList<>();
     }
 
-    @Parameters(commandDescription = "Play a scenario on sockets in real time, and the same one emulated")
-    private static final class LoadWord {
+    @Parameters(commandDescription = "Run a scenario in real time against relay processes, and the same scenario emulated")
+    private static final class LoadCommand {
         @Parameter(description = "FILE", required = true)
         List<String> files = new ArrayList<>();
-        @Parameter(names = "--relay", description = "The relay's jar")
+        @Parameter(names = "--relay", description = "Jar of the relay")
         String relay = "relay/target/yewpath.jar";
     }
 
-    @Parameters(commandDescription = "Look for the worst day within the ranges that a scenario's sweeps span")
-    private static final class SearchWord {
+    @Parameters(commandDescription = "Search for the parameters and faults with the worst result, within the ranges of a scenario's sweeps")
+    private static final class SearchCommand {
         @Parameter(description = "FILE", required = true)
         List<String> files = new ArrayList<>();
-        @Parameter(names = "--days", description = "Days at random, 4 to 100000; as many are played near the worst")
+        @Parameter(names = "--days", description = "Random candidates, 4 to 100000; about as many neighbors of the worst are tried")
         int days = 200;
-        @Parameter(names = "--seed", description = "Of what is drawn")
+        @Parameter(names = "--seed", description = "Seed of the random numbers")
         long seed = 1;
-        @Parameter(names = "--to", description = "Where the day found is written as a scenario")
+        @Parameter(names = "--to", description = "Scenario file to write for the worst candidate")
         String to = "found/worst.toml";
-        @Parameter(names = "--threads", description = "Runs at once; all cores where absent")
+        @Parameter(names = "--threads", description = "Concurrent runs; by default one per core")
         int threads = Runtime.getRuntime().availableProcessors();
     }
 
-    @Parameters(commandDescription = "Every key of a scenario file")
-    private static final class KeysWord {}
+    @Parameters(commandDescription = "List all keys of a scenario file")
+    private static final class KeysCommand {}
 
-    @Parameters(commandDescription = "What runs cost by their size: events a second, Logic's share, heap")
-    private static final class SizesWord {
-        @Parameter(names = "--envelopes", description = "The most envelopes, 1000 to 10000000")
-        long envelopes = 1_000_000;
-        @Parameter(names = "--destinations", description = "The most destinations, 100 to 1000000")
+    @Parameters(commandDescription = "Cost of runs by size: events per second, share of the delivery policy, heap")
+    private static final class SizesCommand {
+        @Parameter(names = "--envelopes", description = "Messages of the largest run, 1000 to 10000000")
+        long messageCount = 1_000_000;
+        @Parameter(names = "--destinations", description = "Destinations of the largest run, 100 to 1000000")
         int destinations = 100_000;
     }
 
     @Parameters(commandDescription = "Print the version")
-    private static final class VersionWord {}
+    private static final class VersionCommand {}
 
-    @Parameter(names = {"-h", "--help"}, help = true, description = "Print this")
+    @Parameter(names = {"-h", "--help"}, help = true, description = "Print this help")
     private boolean help;
 
     private Main() {}
 
     public static void main(String[] args) throws InterruptedException {
         Main main = new Main();
-        StartsWord starts = new StartsWord();
-        RunWord run = new RunWord();
-        LoadWord load = new LoadWord();
-        SearchWord search = new SearchWord();
-        CompareWord compare = new CompareWord();
-        ReportWord report = new ReportWord();
-        SizesWord sizes = new SizesWord();
-        FootprintWord footprint = new FootprintWord();
-        JCommander line = JCommander.newBuilder().programName("yewpath-lab").addObject(main)
+        StartsCommand starts = new StartsCommand();
+        RunCommand run = new RunCommand();
+        LoadCommand load = new LoadCommand();
+        SearchCommand search = new SearchCommand();
+        CompareCommand compare = new CompareCommand();
+        ReportCommand report = new ReportCommand();
+        SizesCommand sizes = new SizesCommand();
+        FootprintCommand footprint = new FootprintCommand();
+        JCommander commandLine = JCommander.newBuilder().programName("yewpath-lab").addObject(main)
             .addCommand("run", run).addCommand("load", load).addCommand("search", search)
             .addCommand("compare", compare)
-            .addCommand("report", report).addCommand("keys", new KeysWord()).addCommand("starts", starts)
+            .addCommand("report", report).addCommand("keys", new KeysCommand()).addCommand("starts", starts)
             .addCommand("footprint", footprint).addCommand("sizes", sizes)
-            .addCommand("version", new VersionWord()).build();
+            .addCommand("version", new VersionCommand()).build();
         try {
-            line.parse(args);
-        } catch (ParameterException e) {
-            fail(e.getMessage());
+            commandLine.parse(args);
+        } catch (ParameterException exception) {
+            fail(exception.getMessage());
         }
         if (main.help) {
-            line.usage();
+            commandLine.usage();
             return;
         }
-        if (line.getParsedCommand() == null) {
+        if (commandLine.getParsedCommand() == null) {
             fail("a command is missing (yewpath-lab --help lists them)");
         }
-        String word = line.getParsedCommand();
+        String command = commandLine.getParsedCommand();
         try {
-            System.exit(switch (word) {
+            System.exit(switch (command) {
                 case "run" -> run(run);
                 case "search" -> search(search);
                 case "load" -> load(load);
@@ -146,17 +149,18 @@
                 case "report" -> report(report);
                 case "keys" -> print(ScenarioFile.reference());
                 case "starts" -> starts(starts);
-                case "sizes" -> new Sizes(System.out).run(sizes.envelopes, sizes.destinations);
+                case "sizes" -> new Sizes(System.out).run(sizes.messageCount, sizes.destinations);
                 case "footprint" -> footprint(footprint);
                 default -> print("yewpath-lab " + version() + "\n");
             });
-        } catch (ConfigurationException faults) {
-            faults.errorLines().forEach(System.err::println);
+        } catch (ConfigurationException exception) {
+            exception.errorLines().forEach(System.err::println);
             System.exit(2);
-        } catch (IOException e) {
-            boolean reads = word.equals("compare") || word.equals("report");
+        } catch (IOException exception) {
+            boolean usesResults = command.equals("compare") || command.equals("report");
             System.err
-                .println("yewpath-lab: " + (reads ? "cannot be read or written: " : "") + e.getMessage());
+                .println("yewpath-lab: " + (usesResults ? "cannot read or write results: " : "")
+                    + exception.getMessage());
             System.exit(1);
         }
     }
@@ -167,68 +171,74 @@
     }
 
     private static String version() {
-        String told = Main.class.getPackage().getImplementationVersion();
-        return told == null ? "unpackaged" : told;
+        String version = Main.class.getPackage().getImplementationVersion();
+        return version == null ? "unpackaged" : version;
     }
 
-    private static int footprint(FootprintWord words) {
-        if (words.count < 1_000 || words.count > 1_000_000) {
-            fail("--count is from 1000 to 1000000");
+    private static int footprint(FootprintCommand arguments) {
+        if (arguments.count < 1_000 || arguments.count > 1_000_000) {
+            fail("--count must be from 1000 to 1000000");
         }
-        return new Footprint(System.out).run(words.count);
+        return new Footprint(System.out).run(arguments.count);
     }
 
-    private static int run(RunWord words) throws IOException, InterruptedException, ConfigurationException {
-        if (words.files.size() != 1 || words.threads < 1) {
-            fail("run takes one file, and at least one thread");
+    private static int run(RunCommand arguments)
+        throws IOException, InterruptedException, ConfigurationException {
+        if (arguments.files.size() != 1 || arguments.threads < 1) {
+            fail("run takes one file, and --threads of at least 1");
         }
-        Path file = Path.of(words.files.get(0));
+        Path file = Path.of(arguments.files.get(0));
         ScenarioFile scenario = ScenarioFile.read(file.toString());
         Path folder = Files
-            .createDirectories(words.to == null ? Path.of("found", scenario.base().name) : Path.of(words.to));
-        Path kept = folder.resolve("scenario.toml");
-        if (Files.exists(kept) && !Files.readString(kept).equals(Files.readString(file))) {
-            fail(folder + " holds runs of another scenario; name another folder by --to");
+            .createDirectories(
+                arguments.to == null ? Path.of("found", scenario.base().name) : Path.of(arguments.to));
+        Path scenarioCopy = folder.resolve("scenario.toml");
+        if (Files.exists(scenarioCopy) && !Files.readString(scenarioCopy).equals(Files.readString(file))) {
+            fail(folder + " contains runs of another scenario; choose another folder with --to");
         }
-        Files.writeString(kept, Files.readString(file));
-        int code = new Runs(System.out, folder, scenario).play(words.threads);
+        Files.writeString(scenarioCopy, Files.readString(file));
+        int exitCode = new ExperimentRunner(System.out, folder, scenario).run(arguments.threads);
         System.out.println("results in " + folder);
-        return code;
+        return exitCode;
     }
 
-    private static int search(SearchWord words)
+    private static int search(SearchCommand arguments)
         throws IOException, InterruptedException, ConfigurationException {
-        if (words.files.size() != 1 || words.days < 4 || words.days > 100_000 || words.threads < 1) {
-            fail("search takes one file, and --days from 4 to 100000");
+        if (arguments.files.size() != 1 || arguments.days < 4 || arguments.days > 100_000
+            || arguments.threads < 1) {
+            fail("search takes one file, --days from 4 to 100000, and --threads of at least 1");
         }
-        ScenarioFile file = ScenarioFile.read(words.files.get(0));
+        ScenarioFile file = ScenarioFile.read(arguments.files.get(0));
         if (file.ranges().isEmpty()) {
-            fail(words.files.get(0) + " has no sweep: its least and most figures are the ranges to look in");
+            fail(arguments.files.get(0)
+                + " has no [sweep]; the minimum and maximum of each sweep are the range of the search");
         }
-        Search search = new Search(file, Search.againstRivals(file), words.seed, words.threads, System.out);
-        Path to = Path.of(words.to).toAbsolutePath();
-        Files.createDirectories(to.getParent());
-        Files.writeString(to, search.text(search.find(words.days)));
-        System.out.println("the day is in " + words.to);
+        WorstCaseSearch search = new WorstCaseSearch(file, WorstCaseSearch.againstRivals(file),
+            arguments.seed, arguments.threads, System.out);
+        Path output = Path.of(arguments.to).toAbsolutePath();
+        Files.createDirectories(output.getParent());
+        Files.writeString(output, search.toToml(search.find(arguments.days)));
+        System.out.println("the worst candidate is in " + arguments.to);
         return 0;
     }
 
-    private static int load(LoadWord words) throws IOException, InterruptedException, ConfigurationException {
-        if (words.files.size() != 1) {
+    private static int load(LoadCommand arguments)
+        throws IOException, InterruptedException, ConfigurationException {
+        if (arguments.files.size() != 1) {
             fail("load takes one file");
         }
         try {
-            ScenarioFile file = ScenarioFile.read(words.files.get(0));
+            ScenarioFile file = ScenarioFile.read(arguments.files.get(0));
             if (!file.base().sweeps.isEmpty()) {
-                fail(words.files.get(0) + " has a sweep: on sockets one point is played");
+                fail(arguments.files.get(0) + " has a [sweep], but load runs a single point only");
             }
-            if (!Files.exists(Path.of(words.relay))) {
-                fail(words.relay + " is not there; name the relay's jar by --relay");
+            if (!Files.exists(Path.of(arguments.relay))) {
+                fail(arguments.relay + " does not exist; name the jar of the relay with --relay");
             }
             Live live = new Live(System.out, file.base());
             World.Outcome sockets = live.play(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-Xms76m", "-Xmx76m", "-jar", words.relay));
+                "-XX:TieredStopAtLevel=1", "-Xms76m", "-Xmx76m", "-jar", arguments.relay));
             System.out.println(
                 "| | service | fulfilled | in time | failed | p50 ms | p99 ms | hand-ins | rules broken |\n"
                     + "| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
@@ -236,60 +246,65 @@
             System.out
                 .println(Live.line("emulated", new World(file.base(), "logic", file.base().seed).play()));
             for (int i = 0; i < live.usage().size(); i++) {
-                Live.Usage one = live.usage().get(i);
-                System.out.println("relay " + i + ": " + one.cpuMs() + " ms of CPU, " + one.residentMb()
-                    + " MB, " + one.descriptors()
+                Live.Usage usage = live.usage().get(i);
+                System.out.println("relay " + i + ": " + usage.cpuMs() + " ms of CPU, " + usage.residentMb()
+                    + " MB, " + usage.descriptors()
                     + " descriptors at most");
             }
             sockets.rulesBroken().forEach(System.out::println);
             return sockets.broken() == 0 ? 0 : 1;
-        } catch (IllegalArgumentException unfit) {
-            System.err.println("yewpath-lab: " + unfit.getMessage());
+        } catch (IllegalArgumentException exception) {
+            System.err.println("yewpath-lab: " + exception.getMessage());
             return 2;
         }
     }
 
-    private static int report(ReportWord words) throws IOException, ConfigurationException {
-        if (words.folders.size() != 1) {
+    private static int report(ReportCommand arguments) throws IOException, ConfigurationException {
+        if (arguments.folders.size() != 1) {
             fail("report takes one folder");
         }
-        System.out.println(new Report(Path.of(words.folders.get(0))).write());
+        System.out.println(new HtmlReport(Path.of(arguments.folders.get(0))).write());
         return 0;
     }
 
-    private static int compare(CompareWord words) throws IOException {
-        if (words.folders.size() > 2 || words.folders.size() == 1 && words.policies.size() != 2
-            || words.policies.size() > 2) {
-            fail("compare takes two folders, or one and --policies with two");
+    private static int compare(CompareCommand arguments) throws IOException {
+        if (arguments.folders.size() > 2 || arguments.folders.size() == 1 && arguments.policies.size() != 2
+            || arguments.policies.size() > 2) {
+            fail("compare takes two folders, or one folder and two --policies");
         }
-        if (!Runs.FIGURES.containsAll(words.figures)) {
-            fail("figures are " + String.join(", ", Runs.FIGURES));
+        if (!ExperimentRunner.METRICS.containsAll(arguments.metrics)) {
+            fail("--figures must be among " + String.join(", ", ExperimentRunner.METRICS));
         }
-        List<Results.Row> a = Results.read(Path.of(words.folders.get(0)));
-        List<Results.Row> b = Results.read(Path.of(words.folders.get(words.folders.size() - 1)));
-        String first = words.policies.isEmpty() ? "logic" : words.policies.get(0);
-        String second = words.policies.size() < 2 ? first : words.policies.get(1);
-        Compare.say(System.out, a.stream().filter(row -> row.policy().equals(first)).toList(),
-            b.stream().filter(row -> row.policy().equals(second)).toList(), words.figures);
+        List<Results.Row> firstRuns = Results.read(Path.of(arguments.folders.get(0)));
+        List<Results.Row> secondRuns = Results
+            .read(Path.of(arguments.folders.get(arguments.folders.size() - 1)));
+        String firstPolicy = arguments.policies.isEmpty() ? "logic" : arguments.policies.get(0);
+        String secondPolicy = arguments.policies.size() < 2 ? firstPolicy : arguments.policies.get(1);
+        PairedComparison.print(System.out,
+            firstRuns.stream().filter(row -> row.policy().equals(firstPolicy)).toList(),
+            secondRuns.stream().filter(row -> row.policy().equals(secondPolicy)).toList(), arguments.metrics);
         return 0;
     }
 
-    private static int starts(StartsWord words) throws IOException, InterruptedException {
-        if (words.times < 1 || words.times > 100 || words.envelopes < 1 || words.envelopes > 100_000
-            || words.rate < 1
-            || words.rate > 5_000 || words.destinations < 1 || words.destinations > 10_000) {
-            fail("a figure is out of its range (yewpath-lab --help tells them)");
+    private static int starts(StartsCommand arguments) throws IOException, InterruptedException {
+        if (arguments.times < 1 || arguments.times > 100 || arguments.messageCount < 1
+            || arguments.messageCount > 100_000
+            || arguments.rate < 1
+            || arguments.rate > 5_000 || arguments.destinations < 1 || arguments.destinations > 10_000) {
+            fail("a number is out of its range (yewpath-lab --help lists the ranges)");
         }
-        List<Path> checkouts = words.checkouts.stream().map(Path::of).toList();
+        List<Path> checkouts = arguments.checkouts.stream().map(Path::of).toList();
         for (Path checkout : checkouts) {
             if (!Files.exists(checkout.resolve("deploy/run.sh"))) {
                 fail(checkout + " has no deploy/run.sh");
             }
         }
-        return new Starts(System.out, words.envelopes, words.rate, words.destinations).run(checkouts,
-            words.times);
+        return new Starts(System.out, arguments.messageCount, arguments.rate, arguments.destinations).run(
+            checkouts,
+            arguments.times);
     }
 
+    /** Prints an error and exits with code 2. */
     private static void fail(String message) {
         System.err.println("yewpath-lab: " + message);
         System.exit(2);
--- a/lab/src/main/java/yewpath/lab/core/EventCalendar.java
+++ b/lab/src/main/java/yewpath/lab/core/EventCalendar.java
@@ -3,15 +3,17 @@
 import java.util.Arrays;
 
 /**
- * The event calendar of a discrete-event simulation: runs scheduled actions in the order of their times. Actions of the
- * same time run in the order in which they were scheduled, so that a run is reproducible on every machine.
+ * The event calendar of a discrete-event simulation: runs scheduled actions in the order of their times.
+ * Actions of the same time run in the order in which they were scheduled, so that a run is reproducible on
+ * every machine.
  *
- * <p>
- * It is a 4-ary heap over parallel arrays (Johnson 1975, d-heaps): ten million events take some 300 MB, and a step
- * touches few cache lines. Times are microseconds from the start of the run. Not thread-safe.
+ * <p> It is a 4-ary heap over parallel arrays (Johnson 1975, d-heaps): ten million events take some 300 MB,
+ * and a step touches few cache lines. Times are microseconds from the start of the run. Not thread-safe.
  */
 public final class EventCalendar {
-    /** A scheduled action that can be cancelled. A cancelled timer keeps its place in the heap until its time. */
+    /**
+     * A scheduled action that can be cancelled. A cancelled timer keeps its place in the heap until its time.
+     */
     public static final class Timer {
         private Runnable action;
 
--- a/lab/src/main/java/yewpath/lab/core/RandomStream.java
+++ b/lab/src/main/java/yewpath/lab/core/RandomStream.java
@@ -4,9 +4,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stream of random numbers for one purpose of a run, such as network delays. Each stream is seeded by the seed of the
- * run and by its name, so that a change in how one part of the emulator draws numbers does not shift the numbers of the
- * others. The transforms use {@link StrictMath}, which gives the same results on every machine. Not thread-safe.
+ * A stream of random numbers for one purpose of a run, such as network delays. Each stream is seeded by the
+ * seed of the run and by its name, so that a change in how one part of the emulator draws numbers does not
+ * shift the numbers of the others. The transforms use {@link StrictMath}, which gives the same results on
+ * every machine. Not thread-safe.
  */
 public final class RandomStream {
     /** Multiplier of the FNV-1 hash with 64 bits. */
@@ -39,7 +40,10 @@
         return probability > 0 && source.nextDouble() < probability;
     }
 
-    /** Returns an exponentially distributed number, such as the time between two arrivals of a Poisson process. */
+    /**
+     * Returns an exponentially distributed number, such as the time between two arrivals of a Poisson
+     * process.
+     */
     public double exponential(double mean) {
         return -mean * StrictMath.log(1 - source.nextDouble());
     }
@@ -53,7 +57,10 @@
         return sigma == 0 ? mean : mean * StrictMath.exp(sigma * normal() - sigma * sigma / 2);
     }
 
-    /** Returns a number of the standard normal distribution (Box and Muller 1958, both numbers of a pair are used). */
+    /**
+     * Returns a number of the standard normal distribution (Box and Muller 1958, both numbers of a pair are
+     * used).
+     */
     private double normal() {
         if (!Double.isNaN(spareNormal)) {
             double spare = spareNormal;
--- a/lab/src/main/java/yewpath/lab/package-info.java
+++ b/lab/src/main/java/yewpath/lab/package-info.java
@@ -1,2 +1,5 @@
-/** The lab: tools that measure relays, each a command of {@code yewpath-lab}. Nothing of it is on a relay's class path. */
+/**
+ * The lab: the commands of {@code yewpath-lab}, which emulate and measure relays. Relays do not depend on it;
+ * it is not on their class path.
+ */
 package yewpath.lab;
--- a/lab/src/main/java/yewpath/lab/referee/Referee.java
+++ b/lab/src/main/java/yewpath/lab/referee/Referee.java
@@ -7,14 +7,13 @@
 import java.util.Map;
 
 /**
- * Checks the delivery rules on the events of a run: every submission, call, execution, answer, advertised wait and change
- * of the endpoint list. It reports the first violations together with the events of the message that led to them, and
- * counts all of them.
+ * Checks the delivery rules on the events of a run: every submission, call, execution, answer, advertised
+ * wait and change of the endpoint list. It reports the first violations together with the events of the
+ * message that led to them, and counts all of them.
  *
- * <p>
- * Messages, endpoints, relays and keys are identified by small indices, and the state of messages is kept in flat
- * arrays, for runs with millions of them. All times are microseconds from the start of the run. The referee does no
- * input or output and draws no random numbers. Not thread-safe.
+ * <p> Messages, endpoints, relays and keys are identified by small indices, and the state of messages is kept
+ * in flat arrays, for runs with millions of them. All times are microseconds from the start of the run. The
+ * referee does no input or output and draws no random numbers. Not thread-safe.
  */
 public final class Referee {
     /** The rules in the order of their numbers. The names are part of the reported violations. */
@@ -35,7 +34,9 @@
         WAIT
     }
 
-    /** Thrown when a rule is violated in a run that stops at the first violation; the message holds the trace. */
+    /**
+     * Thrown when a rule is violated in a run that stops at the first violation; the message holds the trace.
+     */
     public static final class RuleViolation extends RuntimeException {
         private static final long serialVersionUID = 1L;
         public final transient Rule rule;
@@ -65,7 +66,10 @@
     public enum DeliverySemantics {
         /** The message may take effect any number of times. */
         IDEMPOTENT("repeatable"),
-        /** Endpoints recognize a repeated message for a limited time and execute it only once within that time. */
+        /**
+         * Endpoints recognize a repeated message for a limited time and execute it only once within that
+         * time.
+         */
         DEDUPLICATED("tagged"),
         /** The message may take effect at most once. */
         AT_MOST_ONCE("once-only");
@@ -132,9 +136,9 @@
     private int[] executionCount = new int[1024];
     private long[] firstExecutedAtMicros = new long[1024];
     /**
-     * Start and end of advertised waits, by relay and destination. A single map with the pair as a long key would be slow:
-     * the hash of a long is the exclusive or of its halves, so that some hundred thousand pairs would share a few
-     * thousand hashes.
+     * Start and end of advertised waits, by relay and destination. A single map with the pair as a long key
+     * would be slow: the hash of a long is the exclusive or of its halves, so that some hundred thousand
+     * pairs would share a few thousand hashes.
      */
     private final MapPerRelay<long[]> waits = new MapPerRelay<>();
     /** Messages with more than one attempt at endpoints, and the time since when. */
@@ -155,7 +159,8 @@
      * Creates a referee.
      *
      * @param stopAtFirstViolation whether the first violation ends the run with a {@link RuleViolation}
-     * @param drainGraceMicros how long after a relay learned that an endpoint is draining it may still send calls there
+     * @param drainGraceMicros how long after a relay learned that an endpoint is draining it may still send
+     *     calls there
      * @param waitGraceMicros how long after a wait was advertised a call may still arrive
      * @param expiryGraceMicros how long after its expiry a message may still get its outcome
      */
@@ -243,7 +248,10 @@
         recordEvent(nowMicros, TraceEvent.TAKEN, message, relay);
     }
 
-    /** The platform removed the relay of this message together with its ledger, so no outcome is owed any more. */
+    /**
+     * The platform removed the relay of this message together with its ledger, so no outcome is owed any
+     * more.
+     */
     public void lossExcused(int message) {
         state[message] |= EXCUSED;
     }
@@ -251,12 +259,16 @@
     /** A restarted relay recovers a message from its ledger. */
     public void restored(long nowMicros, int message, int relay) {
         recordEvent(nowMicros, TraceEvent.RESTORED, message, relay);
-        // A restarted relay has 1.5 s before anything it recovered counts as overdue, as the operators' rules allow.
+        // A restarted relay has 1.5 s before anything it recovered counts as overdue, as the operators' rules
+        // allow.
         expiresAtMicros[message] = Math.max(expiresAtMicros[message],
             nowMicros + RESTART_GRACE_MICROS - expiryGraceMicros);
     }
 
-    /** A relay begins a call for a message; {@code key} is the ordering key, negative for an unordered message. */
+    /**
+     * A relay begins a call for a message; {@code key} is the ordering key, negative for an unordered
+     * message.
+     */
     public void callSent(long nowMicros, int message, int relay, int endpoint, int key) {
         recordEvent(nowMicros, TraceEvent.SENT, message, endpoint);
         Long drainStart = drainingSince.of(relay).get(endpoint);
@@ -291,7 +303,9 @@
         }
     }
 
-    /** An endpoint executes a message; it is not called for a repeated message that the endpoint recognized. */
+    /**
+     * An endpoint executes a message; it is not called for a repeated message that the endpoint recognized.
+     */
     public void executed(long nowMicros, int message, int endpoint) {
         recordEvent(nowMicros, TraceEvent.RAN, message, endpoint);
         int intent = intentOf[message];
@@ -314,8 +328,9 @@
     }
 
     /**
-     * Checks how long two attempts of a message overlapped. The end of one call and the first byte of the next travel on
-     * two connections at the same time and may arrive in either order, so a short overlap is no violation.
+     * Checks how long two attempts of a message overlapped. The end of one call and the first byte of the
+     * next travel on two connections at the same time and may arrive in either order, so a short overlap is
+     * no violation.
      */
     private void checkOverlap(int message, long nowMicros) {
         Long since = overlappingSince.remove(message);
@@ -332,7 +347,10 @@
         }
     }
 
-    /** A relay stops. Its calls are over, and by the operators' rules a restart ends the waits advertised to it. */
+    /**
+     * A relay stops. Its calls are over, and by the operators' rules a restart ends the waits advertised to
+     * it.
+     */
     public void relayStopped(int relay) {
         waits.of(relay).clear();
         messageOutForKey.of(relay).clear();
@@ -391,7 +409,10 @@
         }
     }
 
-    /** An endpoint that was warming up has collapsed under its load; {@code message} is the one that arrived last. */
+    /**
+     * An endpoint that was warming up has collapsed under its load; {@code message} is the one that arrived
+     * last.
+     */
     public void endpointCollapsed(long nowMicros, int message, int endpoint) {
         reportViolation(Rule.PUSHED_OVER, nowMicros, message,
             "endpoint " + endpoint + " collapses while it is warming up");
--- a/lab/src/main/java/yewpath/lab/report/package-info.java
+++ b/lab/src/main/java/yewpath/lab/report/package-info.java
@@ -1,2 +1,2 @@
-/** Reads folders of results: pairs two by seed, and makes a page with plots. */
+/** Evaluates folders of results: compares paired runs, and writes an HTML report with plots. */
 package yewpath.lab.report;
--- a/lab/src/main/java/yewpath/lab/run/Results.java
+++ b/lab/src/main/java/yewpath/lab/run/Results.java
@@ -11,47 +11,62 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a folder holds, run by run. */
+/** Reads the results of an experiment from its folder. */
 public final class Results {
-    /** One run's figures by name. */
+    /**
+     * The results of one run.
+     *
+     * @param id text that identifies the run within its folder
+     * @param policy name of the delivery policy
+     * @param point the swept parameters by path
+     * @param metrics the measured values by name, as {@link ExperimentRunner#METRICS} lists them; also holds
+     *     the seed
+     */
     public record Row(String id, String policy, long seed, Map<String, Double> point,
-        Map<String, Double> figures) {
-        /** The name of its files under {@code delays} and {@code series}. */
-        public String file() {
-            return Runs.file(id);
+        Map<String, Double> metrics) {
+        /**
+         * Returns the name, without extension, of the files of this run in {@code delays} and {@code series}.
+         */
+        public String fileName() {
+            return ExperimentRunner.fileName(id);
         }
     }
 
     private Results() {}
 
+    /**
+     * Reads all runs of a folder in the order in which they were finished.
+     *
+     * @throws IOException if {@code runs.jsonl} is missing, cannot be read or is not valid
+     */
     public static List<Row> read(Path folder) throws IOException {
         List<Row> rows = new ArrayList<>();
         for (String line : Files.readAllLines(folder.resolve("runs.jsonl"))) {
-            rows.add(row(line));
+            rows.add(parseRow(line));
         }
         return rows;
     }
 
-    private static Row row(String line) throws IOException {
+    private static Row parseRow(String line) throws IOException {
         String id = "";
         String policy = "";
         Map<String, Double> point = new LinkedHashMap<>();
-        Map<String, Double> figures = new LinkedHashMap<>();
+        Map<String, Double> metrics = new LinkedHashMap<>();
         boolean inPoint = false;
-        try (JsonParser at = new JsonFactory().createParser(line)) {
-            for (JsonToken token = at.nextToken(); token != null; token = at.nextToken()) {
-                if ("point".equals(at.currentName()) && token.isStructStart()) {
+        try (JsonParser parser = new JsonFactory().createParser(line)) {
+            for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
+                if ("point".equals(parser.currentName()) && token.isStructStart()) {
                     inPoint = true;
                 } else if (token.isStructEnd()) {
                     inPoint = false;
                 } else if (token.isNumeric()) {
-                    (inPoint ? point : figures).put(at.currentName(), at.getDoubleValue());
+                    (inPoint ? point : metrics).put(parser.currentName(), parser.getDoubleValue());
                 } else if (token == JsonToken.VALUE_STRING) {
-                    id = at.currentName().equals("run") ? at.getText() : id;
-                    policy = at.currentName().equals("policy") ? at.getText() : policy;
+                    id = parser.currentName().equals("run") ? parser.getText() : id;
+                    policy = parser.currentName().equals("policy") ? parser.getText() : policy;
                 }
             }
         }
-        return new Row(id, policy, figures.get("seed").longValue(), point, figures);
+        return new Row(id, policy, metrics.get("seed").longValue(), point, metrics);
     }
 }
--- a/lab/src/main/java/yewpath/lab/run/package-info.java
+++ b/lab/src/main/java/yewpath/lab/run/package-info.java
@@ -1,2 +1,5 @@
-/** Plays the runs that a scenario asks for over all cores, and writes what they came to. */
+/**
+ * Runs the experiments that a scenario file describes on all cores, writes their results, and searches for
+ * bad cases.
+ */
 package yewpath.lab.run;
--- a/lab/src/main/java/yewpath/lab/scenario/Scenario.java
+++ b/lab/src/main/java/yewpath/lab/scenario/Scenario.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The parameters of one run, filled from a scenario file. Times are microseconds, rates are per second, shares and
- * probabilities are from 0 to 1. The sources of the models are named in {@code yewpath.lab.world}.
+ * The parameters of one run, filled from a scenario file. Times are microseconds, rates are per second,
+ * shares and probabilities are from 0 to 1. The sources of the models are named in {@code yewpath.lab.world}.
  */
 public final class Scenario {
     /**
@@ -88,7 +88,10 @@
     public double endpointWarmUpInitialShare;
     /** Time until an endpoint has its full capacity after an outage. */
     public long endpointWarmUpMicros;
-    /** Load at which an endpoint that is warming up collapses, as a multiple of its capacity; 0 for never. */
+    /**
+     * Load at which an endpoint that is warming up collapses, as a multiple of its current capacity; 0 for
+     * never.
+     */
     public double collapseMultiple;
     /** How long an endpoint rejects all calls after a collapse. */
     public long collapseMicros;
@@ -108,7 +111,9 @@
     public List<MessageClass> messageClasses = List.of();
     public List<Fault> faults = List.of();
 
-    /** Returns the calls per second that all endpoints together can serve when they are healthy and warmed up. */
+    /**
+     * Returns the calls per second that all endpoints together can serve when they are healthy and warmed up.
+     */
     public double capacityPerSecond() {
         double served = (double) destinationCount * endpointsPerDestination * endpointCapacity * 1e6
             / meanServiceMicros;
--- a/lab/src/main/java/yewpath/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/yewpath/lab/scenario/ScenarioFile.java
@@ -12,146 +12,183 @@
 import yewpath.configuration.ValueType;
 import yewpath.lab.policy.Policies;
 
-/** Scenario files: their keys, and how a file becomes the runs it asks for. */
+/** A scenario file in TOML: defines its keys, checks it, and turns it into the scenarios of its runs. */
 public final class ScenarioFile {
-    private static final long MS = 1_000, S = 1_000_000;
+    /** In microseconds, the unit of all durations. */
+    private static final long MILLISECOND = 1_000, SECOND = 1_000_000;
     private static final List<Key> KEYS = new ArrayList<>();
-    private static final Map<String, String> TABLES = new LinkedHashMap<>();
-    /** How each number of a scenario is set, so that sweeps reach it. */
+    private static final Map<String, String> TABLE_DESCRIPTIONS = new LinkedHashMap<>();
+    /** By the path of a numeric key: sets its value in a scenario. Only these keys can be swept. */
     private static final Map<String, Setter> SETTERS = new LinkedHashMap<>();
 
     private interface Setter {
-        void set(Scenario s, double figure);
+        void set(Scenario scenario, double value);
     }
 
     static {
-        TABLES.put("run", "What is played how often.");
-        TABLES.put("world", "Sizes.");
-        TABLES.put("load", "What clients hand in, and how they take a refusal.");
-        TABLES.put("endpoint", "Each endpoint, and the limit of its destination.");
-        TABLES.put("network", "The way between relays, endpoints and clients; the directory.");
+        TABLE_DESCRIPTIONS.put("run", "What is simulated, and how often.");
+        TABLE_DESCRIPTIONS.put("world",
+            "Numbers of relays, destinations and endpoints, and the limits of a relay.");
+        TABLE_DESCRIPTIONS.put("load", "What clients submit, and what they do after a rejection.");
+        TABLE_DESCRIPTIONS.put("endpoint", "Each endpoint, and the rate limit of its destination.");
+        TABLE_DESCRIPTIONS.put("network",
+            "The network between clients, relays and endpoints, and the endpoint directory.");
     }
 
-    private static final Key NAME = text("run.name", "unnamed", "Its name, as results bear it.");
-    private static final Key POLICIES = add(
+    private static final Key NAME = stringKey("run.name", "unnamed",
+        "Name of the scenario, used in its results.");
+    private static final Key POLICIES = register(
         Key.unbounded("run.policies", ValueType.STRING_LIST, List.of("logic"),
-            "Who decides: " + String.join(", ", Policies.names()) + "."));
-    private static final Key STRICT = add(Key.unbounded("run.strict", ValueType.BOOLEAN, false,
-        "Whether the first broken rule ends a run, with its trace."));
+            "Delivery policies to run: " + String.join(", ", Policies.names()) + "."));
+    private static final Key STRICT = register(Key.unbounded("run.strict", ValueType.BOOLEAN, false,
+        "Whether the first violated rule ends a run and prints its trace."));
 
     static {
-        count("run.seed", 1, 0, Long.MAX_VALUE >> 11, "Of the first repeat; the next takes the next.",
-            (s, x) -> s.seed = (long) x);
-        count("run.repeats", 1, 1, 10_000, "Seeds for each point.", (s, x) -> s.repeats = (int) x);
-        span("run.length", 30 * S, 10 * MS, 86_400 * S, "How long clients hand in.",
-            (s, x) -> s.lengthMicros = (long) x);
-        span("run.warm", 0, 0, 86_400 * S, "What is handed in before is not counted.",
-            (s, x) -> s.runWarmUpMicros = (long) x);
-        count("world.relays", 1, 1, 10_000, "Relays, each alike.", (s, x) -> s.relayCount = (int) x);
-        count("world.destinations", 10, 1, 1_000_000, "Destinations.",
-            (s, x) -> s.destinationCount = (int) x);
-        count("world.endpoints", 2, 1, 10_000, "Endpoints of each.",
-            (s, x) -> s.endpointsPerDestination = (int) x);
-        count("world.hold", 200, 1, 10_000_000, "Envelopes a relay holds at most.",
-            (s, x) -> s.maxOpenMessages = (int) x);
-        count("world.slots", 64, 1, 1_000_000, "Calls a relay may have out.",
-            (s, x) -> s.maxConcurrentCalls = (int) x);
-        count("world.tries", 8, 0, 1_000, "Shots of an envelope at most; 0 for any number.",
-            (s, x) -> s.maxAttempts = (int) x);
-        part("load.rate", 50, 0, 10_000_000, "Wishes a second over all clients.",
-            (s, x) -> s.requestsPerSecond = x);
-        part("load.popularity", 0, 0, 3, "Zipf's exponent of destinations; 0 for all alike.",
-            (s, x) -> s.zipfExponent = x);
-        part("load.clump", 1, 1, 100_000, "Mean number that come at once.",
-            (s, x) -> s.meanArrivalBatchSize = x);
-        count("load.retries", 5, 0, 1_000, "How often a client hands in again at most.",
-            (s, x) -> s.maxClientRetries = (int) x);
-        part("load.heeds", 1, 0, 1, "1: clients heed a told pause; 0: they come back after their own.",
-            (s, x) -> s.clientsHonorRetryAfter = x >= 0.5);
-        span("load.pause", 500 * MS, 1 * MS, 600 * S, "Their own pause, spread by half.",
-            (s, x) -> s.clientRetryDelayMicros = (long) x);
-        count("load.keys", 0, 0, 1_000_000, "Keys of ordered envelopes a destination; 0 for none.",
-            (s, x) -> s.keysPerDestination = (int) x);
-        span("endpoint.service", 20 * MS, 1, 600 * S, "Mean service time.",
-            (s, x) -> s.meanServiceMicros = (long) x);
-        part("endpoint.spread", 0.5, 0, 3, "Sigma of its logarithm.", (s, x) -> s.serviceSigma = x);
-        count("endpoint.capacity", 8, 1, 1_000_000, "Calls served at once.",
-            (s, x) -> s.endpointCapacity = (int) x);
-        count("endpoint.queue", 16, 0, 1_000_000, "Calls that wait; one more is refused.",
-            (s, x) -> s.endpointQueueCapacity = (int) x);
-        part("endpoint.limit", 0, 0, 1e9, "Calls a second to a destination, from all relays; 0 for none.",
-            (s, x) -> s.callsPerSecondLimit = x);
-        part("endpoint.limit_by_span", 0, 0, 1, "1: counted by whole seconds; 0: a bucket.",
-            (s, x) -> s.fixedWindowLimit = x >= 0.5);
-        part("endpoint.refused_count", 0, 0, 1, "1: refused calls use up the limit, too.",
-            (s, x) -> s.rejectedCallsCount = x >= 0.5);
-        span("endpoint.limit_wait", 0, 0, 600 * S, "The wait told to a call over the limit.",
-            (s, x) -> s.limitRetryAfterMicros = (long) x);
-        part("endpoint.cold_from", 0.2, 0.01, 1, "Part of the capacity just after a return.",
-            (s, x) -> s.endpointWarmUpInitialShare = x);
-        span("endpoint.cold_for", 10 * S, 0, 3_600 * S, "Until all of it is there; 0 for at once.",
-            (s, x) -> s.endpointWarmUpMicros = (long) x);
-        part("endpoint.falls_at", 2, 0, 1_000,
-            "Offered so many times what it bears while cold it falls over; 0 for never.",
-            (s, x) -> s.collapseMultiple = x);
-        span("endpoint.falls_for", 2 * S, 0, 3_600 * S, "How long it then refuses.",
-            (s, x) -> s.collapseMicros = (long) x);
-        span("network.delay", 1 * MS, 1, 10 * S, "One way.", (s, x) -> s.networkDelayMicros = (long) x);
-        part("network.spread", 0.2, 0, 3, "Sigma of its logarithm.", (s, x) -> s.networkDelaySigma = x);
-        part("network.loss", 0, 0, 1, "Part of the answers that get lost.",
-            (s, x) -> s.answerLossProbability = x);
-        span("network.handshake", 2 * MS, 0, 10 * S, "What a new connection costs beside the way.",
-            (s, x) -> s.handshakeMicros = (long) x);
-        span("network.connect_timeout", 1 * S, 1 * MS, 60 * S, "When a silent connect is given up.",
-            (s, x) -> s.connectTimeoutMicros = (long) x);
-        span("network.idle", 10 * S, 1 * MS, 3_600 * S, "How long a connection may lie idle.",
-            (s, x) -> s.idleConnectionTimeoutMicros = (long) x);
-        span("network.directory", 200 * MS, 0, 60 * S, "How late relays hear of a change.",
-            (s, x) -> s.directoryDelayMicros = (long) x);
+        countKey("run.seed", 1, 0, Long.MAX_VALUE >> 11,
+            "Seed of the first repetition; each further one uses the next number.",
+            (scenario, value) -> scenario.seed = (long) value);
+        countKey("run.repeats", 1, 1, 10_000, "Number of seeds for each point of the sweeps.",
+            (scenario, value) -> scenario.repeats = (int) value);
+        durationKey("run.length", 30 * SECOND, 10 * MILLISECOND, 86_400 * SECOND,
+            "How long clients submit messages.",
+            (scenario, value) -> scenario.lengthMicros = (long) value);
+        durationKey("run.warm", 0, 0, 86_400 * SECOND,
+            "Warm-up: requests made before this time are not counted.",
+            (scenario, value) -> scenario.runWarmUpMicros = (long) value);
+        countKey("world.relays", 1, 1, 10_000, "Number of relays; all have the same settings.",
+            (scenario, value) -> scenario.relayCount = (int) value);
+        countKey("world.destinations", 10, 1, 1_000_000, "Number of destinations.",
+            (scenario, value) -> scenario.destinationCount = (int) value);
+        countKey("world.endpoints", 2, 1, 10_000, "Endpoints of each destination.",
+            (scenario, value) -> scenario.endpointsPerDestination = (int) value);
+        countKey("world.hold", 200, 1, 10_000_000, "Most messages that a relay holds at a time.",
+            (scenario, value) -> scenario.maxOpenMessages = (int) value);
+        countKey("world.slots", 64, 1, 1_000_000, "Most concurrent calls of a relay.",
+            (scenario, value) -> scenario.maxConcurrentCalls = (int) value);
+        countKey("world.tries", 8, 0, 1_000, "Most attempts of a message; 0 for no limit.",
+            (scenario, value) -> scenario.maxAttempts = (int) value);
+        fractionKey("load.rate", 50, 0, 10_000_000, "New requests per second over all clients.",
+            (scenario, value) -> scenario.requestsPerSecond = value);
+        fractionKey("load.popularity", 0, 0, 3,
+            "Exponent of the Zipf distribution over destinations; 0 for a uniform one.",
+            (scenario, value) -> scenario.zipfExponent = value);
+        fractionKey("load.clump", 1, 1, 100_000, "Mean number of requests that arrive at the same time.",
+            (scenario, value) -> scenario.meanArrivalBatchSize = value);
+        countKey("load.retries", 5, 0, 1_000, "Most resubmissions of a client's request.",
+            (scenario, value) -> scenario.maxClientRetries = (int) value);
+        fractionKey("load.heeds", 1, 0, 1,
+            "1: clients wait at least as long as a rejection asks them to; 0: they use load.pause only.",
+            (scenario, value) -> scenario.clientsHonorRetryAfter = value >= 0.5);
+        durationKey("load.pause", 500 * MILLISECOND, 1 * MILLISECOND, 600 * SECOND,
+            "The clients' own delay before a resubmission, varied at random by up to half.",
+            (scenario, value) -> scenario.clientRetryDelayMicros = (long) value);
+        countKey("load.keys", 0, 0, 1_000_000,
+            "Ordering keys of each destination; 0 for messages without keys.",
+            (scenario, value) -> scenario.keysPerDestination = (int) value);
+        durationKey("endpoint.service", 20 * MILLISECOND, 1, 600 * SECOND, "Mean service time of a call.",
+            (scenario, value) -> scenario.meanServiceMicros = (long) value);
+        fractionKey("endpoint.spread", 0.5, 0, 3, "Standard deviation of the logarithm of the service time.",
+            (scenario, value) -> scenario.serviceSigma = value);
+        countKey("endpoint.capacity", 8, 1, 1_000_000, "Calls that an endpoint serves concurrently.",
+            (scenario, value) -> scenario.endpointCapacity = (int) value);
+        countKey("endpoint.queue", 16, 0, 1_000_000,
+            "Calls that may wait at an endpoint; further ones are rejected.",
+            (scenario, value) -> scenario.endpointQueueCapacity = (int) value);
+        fractionKey("endpoint.limit", 0, 0, 1e9,
+            "Calls per second to a destination from all relays; 0 for no limit.",
+            (scenario, value) -> scenario.callsPerSecondLimit = value);
+        fractionKey("endpoint.limit_by_span", 0, 0, 1,
+            "1: the limit counts by whole seconds; 0: it is a token bucket.",
+            (scenario, value) -> scenario.fixedWindowLimit = value >= 0.5);
+        fractionKey("endpoint.refused_count", 0, 0, 1,
+            "1: rejected calls use up the limit, too; 0: they do not.",
+            (scenario, value) -> scenario.rejectedCallsCount = value >= 0.5);
+        durationKey("endpoint.limit_wait", 0, 0, 600 * SECOND,
+            "Wait advertised to a call over the limit; 0 for none.",
+            (scenario, value) -> scenario.limitRetryAfterMicros = (long) value);
+        fractionKey("endpoint.cold_from", 0.2, 0.01, 1,
+            "Share of the capacity that an endpoint has immediately after an outage.",
+            (scenario, value) -> scenario.endpointWarmUpInitialShare = value);
+        durationKey("endpoint.cold_for", 10 * SECOND, 0, 3_600 * SECOND,
+            "Time until an endpoint has its full capacity after an outage; 0 for immediately.",
+            (scenario, value) -> scenario.endpointWarmUpMicros = (long) value);
+        fractionKey("endpoint.falls_at", 2, 0, 1_000,
+            "Load at which an endpoint collapses while it warms up, as a multiple of its current capacity; "
+                + "0 for never.",
+            (scenario, value) -> scenario.collapseMultiple = value);
+        durationKey("endpoint.falls_for", 2 * SECOND, 0, 3_600 * SECOND,
+            "How long an endpoint rejects all calls after a collapse.",
+            (scenario, value) -> scenario.collapseMicros = (long) value);
+        durationKey("network.delay", 1 * MILLISECOND, 1, 10 * SECOND, "Mean one-way delay.",
+            (scenario, value) -> scenario.networkDelayMicros = (long) value);
+        fractionKey("network.spread", 0.2, 0, 3, "Standard deviation of the logarithm of the delay.",
+            (scenario, value) -> scenario.networkDelaySigma = value);
+        fractionKey("network.loss", 0, 0, 1, "Share of the answers that are lost.",
+            (scenario, value) -> scenario.answerLossProbability = value);
+        durationKey("network.handshake", 2 * MILLISECOND, 0, 10 * SECOND,
+            "Additional delay of the first call on a new connection.",
+            (scenario, value) -> scenario.handshakeMicros = (long) value);
+        durationKey("network.connect_timeout", 1 * SECOND, 1 * MILLISECOND, 60 * SECOND,
+            "Time-out of a connection attempt without an answer.",
+            (scenario, value) -> scenario.connectTimeoutMicros = (long) value);
+        durationKey("network.idle", 10 * SECOND, 1 * MILLISECOND, 3_600 * SECOND,
+            "How long an idle connection stays open.",
+            (scenario, value) -> scenario.idleConnectionTimeoutMicros = (long) value);
+        durationKey("network.directory", 200 * MILLISECOND, 0, 60 * SECOND,
+            "Delay until relays learn of a change in the endpoint list.",
+            (scenario, value) -> scenario.directoryDelayMicros = (long) value);
     }
 
-    // Of [[offering]] and [[trouble]]; their paths have no table.
-    private static final Key O_NAME = Key.unbounded("name", ValueType.STRING, null, "its name");
-    private static final Key O_KIND = Key.choice("kind", "repeatable",
-        List.of("repeatable", "tagged", "once-only"), false, "how it may be repeated");
-    private static final Key O_ORDERED = Key.unbounded("ordered", ValueType.BOOLEAN, false,
-        "one at a time by key");
-    private static final Key O_SHARE = Key.number("share", ValueType.FRACTION, 1.0, 0, 1e9, false,
-        "its part of the load");
-    private static final Key O_REVENUE = Key.number("revenue", ValueType.FRACTION, 1.0, 0, 1e9, false,
-        "what it is worth in time");
-    private static final Key O_LATE = Key.number("late", ValueType.FRACTION, 0.3, 0, 1, false,
-        "the part of that at its expiry");
-    private static final Key O_AGREED = Key.number("agreed", ValueType.DURATION, 1 * S, 1 * MS, 86_400 * S,
+    // Keys of [[offering]] (message classes) and [[trouble]] (faults); their paths have no table.
+    private static final Key CLASS_NAME = Key.unbounded("name", ValueType.STRING, null,
+        "name of the message class");
+    private static final Key CLASS_SEMANTICS = Key.choice("kind", "repeatable",
+        List.of("repeatable", "tagged", "once-only"), false, "delivery semantics");
+    private static final Key CLASS_ORDERED = Key.unbounded("ordered", ValueType.BOOLEAN, false,
+        "whether messages with the same key are delivered one at a time");
+    private static final Key CLASS_SHARE = Key.number("share", ValueType.FRACTION, 1.0, 0, 1e9, false,
+        "weight of the class among all submitted messages");
+    private static final Key CLASS_REVENUE = Key.number("revenue", ValueType.FRACTION, 1.0, 0, 1e9, false,
+        "revenue of a message delivered on time");
+    private static final Key CLASS_LATE_REVENUE = Key.number("late", ValueType.FRACTION, 0.3, 0, 1, false,
+        "share of the revenue that is left at the expiry");
+    private static final Key CLASS_ON_TIME = Key.number("agreed", ValueType.DURATION, 1 * SECOND,
+        1 * MILLISECOND, 86_400 * SECOND,
         false,
-        "its agreed time");
-    private static final Key O_EXPIRY = Key.number("expiry", ValueType.DURATION, 8 * S, 1 * MS, 86_400 * S,
+        "delay up to which a delivery is on time");
+    private static final Key CLASS_TIME_TO_LIVE = Key.number("expiry", ValueType.DURATION, 8 * SECOND,
+        1 * MILLISECOND, 86_400 * SECOND,
         false,
-        "its expiry");
-    private static final Key O_MEMORY = Key.number("memory", ValueType.DURATION, 10 * S, 0, 86_400 * S, false,
-        "how long a repeat is known");
-    private static final Key T_WHAT = Key.choice("what", null,
+        "time from the client's request to its expiry");
+    private static final Key CLASS_DEDUPLICATION = Key.number("memory", ValueType.DURATION, 10 * SECOND, 0,
+        86_400 * SECOND, false,
+        "how long an endpoint recognizes a repeated message");
+    private static final Key FAULT_TYPE = Key.choice("what", null,
         List.of("silent", "refuse", "vanish", "slow", "errors", "resets", "limit",
             "partition", "drain", "burst", "relay-kill", "relay-lost"),
-        false, "what happens");
-    private static final Key T_AT = Key.number("at", ValueType.DURATION, null, 0, 86_400 * S, false,
-        "when it begins");
-    private static final Key T_FOR = Key.number("for", ValueType.DURATION, null, 1, 86_400 * S, false,
-        "how long it lasts");
-    private static final Key T_PART = Key.number("part", ValueType.FRACTION, 0.0, 0, 1, false,
-        "of destinations or relays; one at least");
-    private static final Key T_AMOUNT = Key.number("amount", ValueType.FRACTION, 1.0, 0, 1e6, false,
-        "a factor or part, by kind");
+        false, "type of the fault");
+    private static final Key FAULT_START = Key.number("at", ValueType.DURATION, null, 0, 86_400 * SECOND,
+        false,
+        "start, from the beginning of the run");
+    private static final Key FAULT_DURATION = Key.number("for", ValueType.DURATION, null, 1, 86_400 * SECOND,
+        false,
+        "duration");
+    private static final Key FAULT_SHARE = Key.number("part", ValueType.FRACTION, 0.0, 0, 1, false,
+        "share of the destinations or relays that are affected; at least one is");
+    private static final Key FAULT_AMOUNT = Key.number("amount", ValueType.FRACTION, 1.0, 0, 1e6, false,
+        "factor of slow, burst and limit; probability of errors and resets");
 
-    private static final Map<String, List<Key>> LISTS = new LinkedHashMap<>();
+    private static final Map<String, List<Key>> TABLE_LISTS = new LinkedHashMap<>();
 
     static {
-        LISTS.put("offering",
-            List.of(O_NAME, O_KIND, O_ORDERED, O_SHARE, O_REVENUE, O_LATE, O_AGREED, O_EXPIRY, O_MEMORY));
-        LISTS.put("trouble", List.of(T_WHAT, T_AT, T_FOR, T_PART, T_AMOUNT));
+        TABLE_LISTS.put("offering",
+            List.of(CLASS_NAME, CLASS_SEMANTICS, CLASS_ORDERED, CLASS_SHARE, CLASS_REVENUE,
+                CLASS_LATE_REVENUE, CLASS_ON_TIME, CLASS_TIME_TO_LIVE, CLASS_DEDUPLICATION));
+        TABLE_LISTS.put("trouble",
+            List.of(FAULT_TYPE, FAULT_START, FAULT_DURATION, FAULT_SHARE, FAULT_AMOUNT));
     }
 
-    private static final FileSchema SHAPE = new FileSchema(KEYS, TABLES, LISTS, "sweep");
+    private static final FileSchema SCHEMA = new FileSchema(KEYS, TABLE_DESCRIPTIONS, TABLE_LISTS, "sweep");
 
     private final SettingValues values;
 
@@ -159,15 +196,30 @@
         this.values = values;
     }
 
+    /**
+     * Reads a scenario file.
+     *
+     * @throws ConfigurationException if the file cannot be read or is invalid; it names each error with its
+     *     line
+     */
     public static ScenarioFile read(String path) throws ConfigurationException {
-        return new ScenarioFile(TomlFile.read(path, SHAPE, ScenarioFile::together));
+        return new ScenarioFile(TomlFile.read(path, SCHEMA, ScenarioFile::checkConsistency));
     }
 
+    /**
+     * Parses the text of a scenario file.
+     *
+     * @param name name of the file, used in error messages
+     * @throws ConfigurationException if the text is invalid; it names each error with its line
+     */
     public static ScenarioFile parse(String name, String text) throws ConfigurationException {
-        return new ScenarioFile(TomlFile.parse(name, text, SHAPE, ScenarioFile::together));
+        return new ScenarioFile(TomlFile.parse(name, text, SCHEMA, ScenarioFile::checkConsistency));
     }
 
-    /** The keys with their meaning, for whoever writes a scenario. */
+    /**
+     * Returns a description of all keys with their defaults and ranges, as the command {@code keys} prints
+     * it.
+     */
     public static String reference() {
         StringBuilder out = new StringBuilder();
         for (Key key : KEYS) {
@@ -175,7 +227,7 @@
                 .append(")\n    ")
                 .append(key.description).append('\n');
         }
-        LISTS.forEach((name, keys) -> {
+        TABLE_LISTS.forEach((name, keys) -> {
             out.append("[[").append(name).append("]]\n");
             keys.forEach(key -> out.append("    ").append(key.path).append("  (")
                 .append(key.defaultValue == null ? "needed"
@@ -183,86 +235,96 @@
                 .append("; ").append(key.range()).append(")  ").append(key.description).append('\n'));
         });
         return out.append(
-            "[sweep]\n    \"load.rate\" = [50, 100]: any number above, times in microseconds; all are combined\n")
+            "[sweep]\n    \"load.rate\" = [50, 100]: values of any numeric key above, "
+                + "times in microseconds; all combinations are run\n")
             .toString();
     }
 
-    /** The scenario with no sweep applied. */
+    /** Returns the scenario without its sweeps, that is with the values of the tables. */
     public Scenario base() {
-        Scenario s = new Scenario();
-        s.name = values.string(NAME);
-        s.policies = values.strings(POLICIES);
-        s.strict = values.flag(STRICT);
+        Scenario scenario = new Scenario();
+        scenario.name = values.string(NAME);
+        scenario.policies = values.strings(POLICIES);
+        scenario.strict = values.flag(STRICT);
         for (Key key : KEYS) {
             Setter setter = SETTERS.get(key.path);
             if (setter != null) {
-                setter.set(s, ((Number) values.value(key)).doubleValue());
+                setter.set(scenario, ((Number) values.value(key)).doubleValue());
             }
         }
-        List<Scenario.MessageClass> offerings = new ArrayList<>();
-        for (SettingValues o : values.tables("offering")) {
-            offerings.add(new Scenario.MessageClass(o.string(O_NAME), o.string(O_KIND), o.flag(O_ORDERED),
-                o.fraction(O_SHARE), o.fraction(O_REVENUE),
-                o.fraction(O_LATE), o.number(O_AGREED), o.number(O_EXPIRY), o.number(O_MEMORY)));
+        List<Scenario.MessageClass> messageClasses = new ArrayList<>();
+        for (SettingValues table : values.tables("offering")) {
+            messageClasses.add(new Scenario.MessageClass(table.string(CLASS_NAME),
+                table.string(CLASS_SEMANTICS), table.flag(CLASS_ORDERED),
+                table.fraction(CLASS_SHARE), table.fraction(CLASS_REVENUE),
+                table.fraction(CLASS_LATE_REVENUE), table.number(CLASS_ON_TIME),
+                table.number(CLASS_TIME_TO_LIVE), table.number(CLASS_DEDUPLICATION)));
         }
-        if (offerings.isEmpty()) {
-            offerings
-                .add(new Scenario.MessageClass("status", "repeatable", false, 1, 1, 0.3, 1 * S, 8 * S,
-                    10 * S));
+        if (messageClasses.isEmpty()) {
+            messageClasses
+                .add(new Scenario.MessageClass("status", "repeatable", false, 1, 1, 0.3, 1 * SECOND,
+                    8 * SECOND,
+                    10 * SECOND));
         }
-        s.messageClasses = List.copyOf(offerings);
-        List<Scenario.Fault> troubles = new ArrayList<>();
-        for (SettingValues t : values.tables("trouble")) {
-            troubles.add(
-                new Scenario.Fault(t.number(T_AT), t.number(T_FOR), t.string(T_WHAT), t.fraction(T_PART),
-                    t.fraction(T_AMOUNT)));
+        scenario.messageClasses = List.copyOf(messageClasses);
+        List<Scenario.Fault> faults = new ArrayList<>();
+        for (SettingValues table : values.tables("trouble")) {
+            faults.add(
+                new Scenario.Fault(table.number(FAULT_START), table.number(FAULT_DURATION),
+                    table.string(FAULT_TYPE), table.fraction(FAULT_SHARE),
+                    table.fraction(FAULT_AMOUNT)));
         }
-        s.faults = List.copyOf(troubles);
-        s.sweeps = values.freeNumbers();
-        return s;
+        scenario.faults = List.copyOf(faults);
+        scenario.sweeps = values.freeNumbers();
+        return scenario;
     }
 
-    /** The scenario at one point of its sweeps. */
+    /** Returns the scenario at one point of its sweeps, which maps paths of numeric keys to values. */
     public Scenario atPoint(Map<String, Double> point) {
-        Scenario s = base();
-        point.forEach((path, figure) -> SETTERS.get(path).set(s, figure));
-        return s;
+        Scenario scenario = base();
+        point.forEach((path, value) -> SETTERS.get(path).set(scenario, value));
+        return scenario;
     }
 
-    /** All points, the first sweep varying slowest; one without entries where nothing is swept. */
+    /**
+     * Returns all combinations of the swept values; the first sweep varies slowest. Without sweeps, returns a
+     * single empty point.
+     */
     public List<Map<String, Double>> points() {
         List<Map<String, Double>> points = new ArrayList<>(List.of(Map.of()));
-        values.freeNumbers().forEach((path, figures) -> {
-            List<Map<String, Double>> more = new ArrayList<>();
+        values.freeNumbers().forEach((path, sweptValues) -> {
+            List<Map<String, Double>> extended = new ArrayList<>();
             for (Map<String, Double> point : points) {
-                for (double figure : figures) {
+                for (double value : sweptValues) {
                     Map<String, Double> next = new LinkedHashMap<>(point);
-                    next.put(path, figure);
-                    more.add(next);
+                    next.put(path, value);
+                    extended.add(next);
                 }
             }
             points.clear();
-            points.addAll(more);
+            points.addAll(extended);
         });
         return points;
     }
 
-    /** The least and most of each swept number, within which a search may draw. */
+    /** Returns the minimum and maximum of each swept key, the ranges in which a search draws values. */
     public Map<String, double[]> ranges() {
         Map<String, double[]> ranges = new LinkedHashMap<>();
-        values.freeNumbers().forEach((path, figures) -> ranges.put(path, new double[]{
-            figures.stream().mapToDouble(x -> x).min().orElseThrow(),
-            figures.stream().mapToDouble(x -> x).max().orElseThrow()}));
+        values.freeNumbers().forEach((path, sweptValues) -> ranges.put(path, new double[]{
+            sweptValues.stream().mapToDouble(value -> value).min().orElseThrow(),
+            sweptValues.stream().mapToDouble(value -> value).max().orElseThrow()}));
         return ranges;
     }
 
-    /** Whether a number of this name is a whole one. */
+    /** Returns whether the values of the key with this path are integers. */
     public static boolean isInteger(String path) {
         return KEYS.stream().anyMatch(key -> key.path.equals(path) && key.type != ValueType.FRACTION);
     }
 
-    /** The file that says this scenario at a point and with these troubles, without its sweeps. */
-    public String toToml(Map<String, Double> point, List<Scenario.Fault> troubles) {
+    /**
+     * Returns the text of a scenario file without sweeps for this scenario at a point and with these faults.
+     */
+    public String toToml(Map<String, Double> point, List<Scenario.Fault> faults) {
         StringBuilder out = new StringBuilder();
         String table = "";
         for (Key key : KEYS) {
@@ -270,93 +332,100 @@
                 table = key.table();
                 out.append(out.isEmpty() ? "" : "\n").append('[').append(table).append("]\n");
             }
-            Double figure = point.get(key.path);
-            Object value = figure == null ? values.value(key)
-                : key.type == ValueType.FRACTION ? (Object) figure : (Object) Math.round(figure);
+            Double pointValue = point.get(key.path);
+            Object value = pointValue == null ? values.value(key)
+                : key.type == ValueType.FRACTION ? (Object) pointValue : (Object) Math.round(pointValue);
             out.append(key.path.substring(key.path.indexOf('.') + 1)).append(" = ")
-                .append(written(key, value)).append('\n');
+                .append(toToml(key, value)).append('\n');
         }
-        for (SettingValues offering : values.tables("offering")) {
-            entry(out, "offering", LISTS.get("offering"), offering::value);
+        for (SettingValues messageClass : values.tables("offering")) {
+            appendTable(out, "offering", TABLE_LISTS.get("offering"), messageClass::value);
         }
-        for (Scenario.Fault t : troubles) {
-            Map<Key, Object> told = Map.of(T_WHAT, t.type(), T_AT, t.startMicros(), T_FOR, t.durationMicros(),
-                T_PART,
-                t.share(), T_AMOUNT, t.amount());
-            entry(out, "trouble", LISTS.get("trouble"), told::get);
+        for (Scenario.Fault fault : faults) {
+            Map<Key, Object> entries = Map.of(FAULT_TYPE, fault.type(), FAULT_START, fault.startMicros(),
+                FAULT_DURATION, fault.durationMicros(),
+                FAULT_SHARE,
+                fault.share(), FAULT_AMOUNT, fault.amount());
+            appendTable(out, "trouble", TABLE_LISTS.get("trouble"), entries::get);
         }
         return out.toString();
     }
 
-    private static void entry(StringBuilder out, String name, List<Key> keys,
+    private static void appendTable(StringBuilder out, String name, List<Key> keys,
         java.util.function.Function<Key, Object> value) {
         out.append("\n[[").append(name).append("]]\n");
         keys.forEach(
-            key -> out.append(key.path).append(" = ").append(written(key, value.apply(key))).append('\n'));
+            key -> out.append(key.path).append(" = ").append(toToml(key, value.apply(key))).append('\n'));
     }
 
-    private static String written(Key key, Object value) {
+    private static String toToml(Key key, Object value) {
         if (key.type == ValueType.STRING_LIST) {
-            return ((List<?>) value).stream().map(one -> '"' + one.toString() + '"').toList().toString();
+            return ((List<?>) value).stream().map(element -> '"' + element.toString() + '"').toList()
+                .toString();
         }
-        // In its smallest unit, so that nothing is rounded: the day must be the same day.
+        // Microseconds avoid rounding: the file that is read back must give the same run.
         return key.type == ValueType.DURATION ? "\"" + value + " us\"" : key.type.format(value);
     }
 
-    private static void together(SettingValues all, TomlFile.ErrorReporter fault) {
-        all.freeNumbers().forEach((path, figures) -> {
-            Key key = KEYS.stream().filter(k -> k.path.equals(path)).findFirst().orElse(null);
+    /** Checks what concerns several keys: the sweeps, the policies and the times of message classes. */
+    private static void checkConsistency(SettingValues all, TomlFile.ErrorReporter errors) {
+        all.freeNumbers().forEach((path, swept) -> {
+            Key key = KEYS.stream().filter(candidate -> candidate.path.equals(path)).findFirst().orElse(null);
             if (key == null || !SETTERS.containsKey(path)) {
-                fault.report(0, "sweep." + path + ": no number of that name");
+                errors.report(0,
+                    "sweep." + path + ": no numeric key of that name; yewpath-lab keys lists the keys");
                 return;
             }
-            for (double figure : figures) {
-                if (figure < key.minimum || figure > key.maximum) {
-                    fault.report(0, "sweep." + path + " should be " + key.range() + "; it is " + figure);
+            for (double value : swept) {
+                if (value < key.minimum || value > key.maximum) {
+                    errors.report(0, "sweep." + path + " should be " + key.range() + "; it is " + value);
                 }
             }
         });
         for (String policy : all.strings(POLICIES)) {
             if (!Policies.names().contains(policy)) {
-                fault.report(all.line(POLICIES), "run.policies: no policy " + policy + "; there are "
+                errors.report(all.line(POLICIES), "run.policies: unknown policy " + policy + "; known are "
                     + String.join(", ", Policies.names()));
             }
         }
         if (all.strings(POLICIES).isEmpty()) {
-            fault.report(all.line(POLICIES), "run.policies: at least one should be named");
+            errors.report(all.line(POLICIES), "run.policies must name at least one policy");
         }
-        for (SettingValues o : all.tables("offering")) {
-            if (o.number(O_AGREED) > o.number(O_EXPIRY)) {
-                fault.report(Math.max(o.line(O_AGREED), o.line(O_EXPIRY)),
-                    "offering " + o.string(O_NAME) + ": agreed exceeds expiry");
+        for (SettingValues table : all.tables("offering")) {
+            if (table.number(CLASS_ON_TIME) > table.number(CLASS_TIME_TO_LIVE)) {
+                errors.report(Math.max(table.line(CLASS_ON_TIME), table.line(CLASS_TIME_TO_LIVE)),
+                    "offering " + table.string(CLASS_NAME) + ": agreed exceeds expiry");
             }
         }
     }
 
-    private static Key add(Key key) {
+    private static Key register(Key key) {
         KEYS.add(key);
         return key;
     }
 
-    private static Key text(String path, String standard, String sentence) {
-        return add(Key.unbounded(path, ValueType.STRING, standard, sentence));
+    private static Key stringKey(String path, String defaultValue, String description) {
+        return register(Key.unbounded(path, ValueType.STRING, defaultValue, description));
     }
 
-    private static void count(String path, long standard, long least, long most, String sentence,
+    private static void countKey(String path, long defaultValue, long minimum, long maximum,
+        String description,
         Setter setter) {
-        add(Key.number(path, ValueType.COUNT, standard, least, most, false, sentence));
+        register(Key.number(path, ValueType.COUNT, defaultValue, minimum, maximum, false, description));
         SETTERS.put(path, setter);
     }
 
-    private static void span(String path, long standard, long least, long most, String sentence,
+    private static void durationKey(String path, long defaultValue, long minimum, long maximum,
+        String description,
         Setter setter) {
-        add(Key.number(path, ValueType.DURATION, standard, least, most, false, sentence));
+        register(Key.number(path, ValueType.DURATION, defaultValue, minimum, maximum, false, description));
         SETTERS.put(path, setter);
     }
 
-    private static void part(String path, double standard, double least, double most, String sentence,
+    private static void fractionKey(String path, double defaultValue, double minimum, double maximum,
+        String description,
         Setter setter) {
-        add(Key.number(path, ValueType.FRACTION, standard, least, most, false, sentence));
+        register(Key.number(path, ValueType.FRACTION, defaultValue, minimum, maximum, false, description));
         SETTERS.put(path, setter);
     }
 }
--- a/lab/src/test/java/yewpath/lab/EmulatorTest.java
+++ b/lab/src/test/java/yewpath/lab/EmulatorTest.java
@@ -22,87 +22,91 @@
 import yewpath.lab.core.RandomStream;
 import yewpath.lab.policy.Policies;
 import yewpath.lab.referee.Referee;
-import yewpath.lab.report.Compare;
-import yewpath.lab.report.Report;
+import yewpath.lab.report.HtmlReport;
+import yewpath.lab.report.PairedComparison;
+import yewpath.lab.run.ExperimentRunner;
 import yewpath.lab.run.Results;
-import yewpath.lab.run.Runs;
-import yewpath.lab.run.Search;
+import yewpath.lab.run.WorstCaseSearch;
 import yewpath.lab.scenario.Scenario;
 import yewpath.lab.scenario.ScenarioFile;
 import yewpath.lab.world.World;
 
-/** The emulator's parts, its files, and small worlds. */
+/**
+ * Tests of the emulator: its calendar and random numbers, its files and commands, the referee, and small
+ * scenarios.
+ */
 public final class EmulatorTest {
     private static final String SMALL = "[run]\nlength = \"5 s\"\nstrict = true\n[world]\nrelays = 2\ndestinations = 3\n[load]\nrate = 60\n"
         + "keys = 4\n[endpoint]\nlimit = 30\nlimit_wait = \"300 ms\"\n[[offering]]\nname = \"a\"\n[[offering]]\nname = \"b\"\nkind = \"once-only\"\n"
         + "[[offering]]\nname = \"c\"\nkind = \"tagged\"\nordered = true\n";
 
-    private static World.Outcome play(String text, String policy, long seed) throws ConfigurationException {
+    private static World.Outcome run(String text, String policy, long seed) throws ConfigurationException {
         return new World(ScenarioFile.parse("s.toml", text).atPoint(Map.of()), policy, seed).play();
     }
 
     @Test
-    public void eventsComeByTimeAndThoseOfOneInstantInTheirOrder() {
+    public void eventsRunByTimeAndInSchedulingOrderAtTheSameTime() {
         EventCalendar calendar = new EventCalendar();
         List<Integer> times = new ArrayList<>();
         for (int i = 0; i < 5_000; i++) {
             times.add(i / 5);
         }
         Collections.shuffle(times, new Random(3));
-        List<long[]> played = new ArrayList<>();
+        List<long[]> executed = new ArrayList<>();
         for (int i = 0; i < times.size(); i++) {
-            long[] one = {times.get(i), i};
-            calendar.scheduleAt(times.get(i), () -> played.add(one));
+            long[] event = {times.get(i), i};
+            calendar.scheduleAt(times.get(i), () -> executed.add(event));
         }
-        EventCalendar.Timer calledOff = calendar.startTimer(500, () -> played.add(new long[]{-1, -1}));
-        calledOff.cancel();
+        EventCalendar.Timer cancelled = calendar.startTimer(500, () -> executed.add(new long[]{-1, -1}));
+        cancelled.cancel();
         calendar.runUntil(10_000);
-        assertEquals(played.size(), 5_000);
-        for (int i = 1; i < played.size(); i++) {
-            long[] a = played.get(i - 1);
-            long[] b = played.get(i);
-            assertTrue(a[0] < b[0] || a[0] == b[0] && a[1] < b[1], "at " + i);
+        assertEquals(executed.size(), 5_000);
+        for (int i = 1; i < executed.size(); i++) {
+            long[] previous = executed.get(i - 1);
+            long[] current = executed.get(i);
+            assertTrue(previous[0] < current[0] || previous[0] == current[0] && previous[1] < current[1],
+                "at " + i);
         }
         assertEquals(calendar.nowMicros(), 10_000);
         assertEquals(calendar.executedCount(), 5_000);
     }
 
     @Test
-    public void whatAnEventEntersForItsOwnInstantIsPlayedBehindWhatStands() {
+    public void eventScheduledForTheCurrentTimeRunsAfterEarlierScheduledOnes() {
         EventCalendar calendar = new EventCalendar();
-        List<String> played = new ArrayList<>();
+        List<String> executed = new ArrayList<>();
         calendar.scheduleAt(5, () -> {
-            played.add("first");
-            calendar.scheduleAfter(0, () -> played.add("third"));
+            executed.add("first");
+            calendar.scheduleAfter(0, () -> executed.add("third"));
         });
-        calendar.scheduleAt(5, () -> played.add("second"));
+        calendar.scheduleAt(5, () -> executed.add("second"));
         calendar.runUntil(5);
-        assertEquals(played, List.of("first", "second", "third"));
+        assertEquals(executed, List.of("first", "second", "third"));
     }
 
     @Test
-    public void causesHaveStreamsOfTheirOwn() {
-        RandomStream one = new RandomStream(7, "network");
-        RandomStream same = new RandomStream(7, "network");
-        RandomStream other = new RandomStream(7, "service");
-        double drawn = one.uniform();
-        assertEquals(same.uniform(), drawn);
-        assertNotEquals(other.uniform(), drawn);
+    public void randomStreamsOfDifferentNamesAreIndependent() {
+        RandomStream stream = new RandomStream(7, "network");
+        RandomStream sameName = new RandomStream(7, "network");
+        RandomStream otherName = new RandomStream(7, "service");
+        double drawn = stream.uniform();
+        assertEquals(sameName.uniform(), drawn);
+        assertNotEquals(otherName.uniform(), drawn);
         double sum = 0;
         for (int i = 0; i < 200_000; i++) {
-            sum += one.logNormal(10, 0.5);
+            sum += stream.logNormal(10, 0.5);
         }
         assertEquals(sum / 200_000, 10, 0.1);
     }
 
     @Test
-    public void theSameSeedIsTheSameRunAndAnotherIsNot() throws ConfigurationException {
-        World.Outcome first = play(SMALL, "logic", 1);
-        World.Outcome again = play(SMALL, "logic", 1);
+    public void sameSeedGivesSameRunAndOtherSeedAnother() throws ConfigurationException {
+        World.Outcome first = run(SMALL, "logic", 1);
+        World.Outcome again = run(SMALL, "logic", 1);
         assertEquals(again.events(), first.events());
         assertEquals(again.service(), first.service());
         assertEquals(again.delays(), first.delays());
-        assertNotEquals(play(SMALL, "logic", 2).events(), first.events());
+        assertNotEquals(run(SMALL, "logic", 2).events(), first.events());
     }
 
     @DataProvider
@@ -110,65 +114,68 @@
         return Policies.names().stream().map(name -> new Object[]{name}).toArray(Object[][]::new);
     }
 
-    /** None of them is meant to break a rule, in trouble or out of it. */
+    /** No policy may violate a rule, even under faults. */
     @Test(dataProvider = "policies")
-    public void noPolicyBreaksARule(String policy) throws ConfigurationException {
-        String troubled = SMALL.replace("5 s", "20 s") + trouble("refuse", 2, 2, 0.4, 1)
-            + trouble("silent", 3, 2, 0.4, 1)
-            + trouble("relay-kill", 5, 1, 0, 1) + trouble("drain", 6, 2, 0.4, 1)
-            + trouble("errors", 8, 3, 1, 0.2)
-            + trouble("resets", 9, 2, 1, 0.2) + trouble("relay-lost", 12, 1, 0, 1)
-            + trouble("partition", 13, 2, 0.5, 1)
-            + trouble("vanish", 14, 2, 0.4, 1) + trouble("burst", 15, 2, 0, 4)
-            + trouble("slow", 16, 2, 1, 10);
-        World.Outcome outcome = play(troubled.replace("[endpoint]", "[endpoint]\nfalls_at = 0"), policy, 3);
-        assertTrue(outcome.fulfilled() > 0.3, policy + " fulfilled " + outcome.fulfilled());
+    public void noPolicyViolatesARule(String policy) throws ConfigurationException {
+        String scenario = SMALL.replace("5 s", "20 s") + fault("refuse", 2, 2, 0.4, 1)
+            + fault("silent", 3, 2, 0.4, 1)
+            + fault("relay-kill", 5, 1, 0, 1) + fault("drain", 6, 2, 0.4, 1)
+            + fault("errors", 8, 3, 1, 0.2)
+            + fault("resets", 9, 2, 1, 0.2) + fault("relay-lost", 12, 1, 0, 1)
+            + fault("partition", 13, 2, 0.5, 1)
+            + fault("vanish", 14, 2, 0.4, 1) + fault("burst", 15, 2, 0, 4)
+            + fault("slow", 16, 2, 1, 10);
+        World.Outcome outcome = run(scenario.replace("[endpoint]", "[endpoint]\nfalls_at = 0"), policy, 3);
+        assertTrue(outcome.fulfilled() > 0.3, policy + " delivered a share of " + outcome.fulfilled());
         assertEquals(outcome.broken(), 0, outcome.rulesBroken().toString());
     }
 
-    private static String trouble(String what, int at, int length, double part, double amount) {
-        return "[[trouble]]\nwhat = \"" + what + "\"\nat = \"" + at + " s\"\nfor = \"" + length
-            + " s\"\npart = " + part + "\namount = "
+    private static String fault(String type, int startSeconds, int durationSeconds, double share,
+        double amount) {
+        return "[[trouble]]\nwhat = \"" + type + "\"\nat = \"" + startSeconds + " s\"\nfor = \""
+            + durationSeconds
+            + " s\"\npart = " + share + "\namount = "
             + amount + "\n";
     }
 
     @DataProvider
-    public Object[][] edges() {
+    public Object[][] extremeScenarios() {
         return new Object[][]{
             {"no traffic", "[run]\nstrict = true\nlength = \"2 s\"\n[load]\nrate = 0"},
             {"one of each",
                 "[run]\nstrict = true\nlength = \"5 s\"\n[world]\nrelays = 1\ndestinations = 1\nendpoints = 1\n[load]\nrate = 5"},
-            {"troubles that overlap",
-                "[run]\nstrict = true\nlength = \"6 s\"\n" + trouble("refuse", 1, 3, 1, 1)
-                    + trouble("vanish", 2, 3, 1, 1)
-                    + trouble("silent", 2, 1, 1, 1)},
-            {"all relays dead at once", SMALL + trouble("relay-kill", 2, 1, 1, 1)},
+            {"overlapping faults",
+                "[run]\nstrict = true\nlength = \"6 s\"\n" + fault("refuse", 1, 3, 1, 1)
+                    + fault("vanish", 2, 3, 1, 1)
+                    + fault("silent", 2, 1, 1, 1)},
+            {"all relays killed at once", SMALL + fault("relay-kill", 2, 1, 1, 1)},
         };
     }
 
-    @Test(dataProvider = "edges")
-    public void edgesArePlayed(String what, String text) throws ConfigurationException {
-        World.Outcome outcome = play(text, "logic", 1);
-        assertEquals(outcome.broken(), 0, what);
-        assertTrue(outcome.wishes() > 0 == !what.equals("no traffic"), what);
+    @Test(dataProvider = "extremeScenarios")
+    public void extremeScenariosRunWithoutViolations(String description, String text)
+        throws ConfigurationException {
+        World.Outcome outcome = run(text, "logic", 1);
+        assertEquals(outcome.broken(), 0, description);
+        assertTrue(outcome.wishes() > 0 == !description.equals("no traffic"), description);
     }
 
     @Test
-    public void ifAllGoesWellAllIsDeliveredAtTheEndpointsPace() throws ConfigurationException {
-        World.Outcome outcome = play(
+    public void withoutFaultsAllIsDeliveredAfterServiceAndNetworkTime() throws ConfigurationException {
+        World.Outcome outcome = run(
             "[run]\nlength = \"20 s\"\n[endpoint]\nspread = 0.0\n[network]\nspread = 0.0", "one-try", 1);
         assertEquals(outcome.fulfilled(), 1.0);
-        // Service 20 ms and two ways of 1 ms to the endpoint, one from the client: what nobody waits for.
+        // The service takes 20 ms, the way to the endpoint and back and the way from the client 1 ms each.
         assertEquals(outcome.delays().getValueAtPercentile(50) / 1e3, 23.0, 1.0);
     }
 
     @DataProvider
-    public Object[][] faulty() {
+    public Object[][] invalidScenarios() {
         return new Object[][]{
             {"[load]\nrat = 3", "s.toml:2: unknown key load.rat; the nearest known is load.rate"},
             {"[run]\nlength = \"3 KiB\"", "s.toml:2: run.length should be a time"},
-            {"[run]\npolicies = [\"logic\", \"magic\"]", "s.toml:2: run.policies: no policy magic"},
-            {"[sweep]\n\"load.rat\" = [1]", "sweep.load.rat: no number of that name"},
+            {"[run]\npolicies = [\"logic\", \"magic\"]", "s.toml:2: run.policies: unknown policy magic"},
+            {"[sweep]\n\"load.rat\" = [1]", "sweep.load.rat: no numeric key of that name"},
             {"[sweep]\n\"load.rate\" = [1, \"x\"]", "should be a number or a list of numbers"},
             {"[sweep]\n\"world.relays\" = [0]", "sweep.world.relays should be from 1"},
             {"[[trouble]]\nwhat = \"rain\"\nat = \"1 s\"\nfor = \"1 s\"",
@@ -179,16 +186,16 @@
         };
     }
 
-    @Test(dataProvider = "faulty")
-    public void aScenarioWithAFaultIsTold(String text, String told) {
+    @Test(dataProvider = "invalidScenarios")
+    public void invalidScenarioIsReported(String text, String expected) {
         List<String> lines = expectThrows(ConfigurationException.class,
             () -> ScenarioFile.parse("s.toml", text)).errorLines();
-        assertTrue(lines.stream().anyMatch(line -> line.startsWith("s.toml") && line.contains(told)),
+        assertTrue(lines.stream().anyMatch(line -> line.startsWith("s.toml") && line.contains(expected)),
             lines.toString());
     }
 
     @Test
-    public void allScenariosThatComeWithTheLabAreWithoutFault() throws Exception {
+    public void shippedScenariosAreValid() throws Exception {
         try (var files = Files.list(Path.of("scenarios"))) {
             for (Path file : files.toList()) {
                 ScenarioFile.read(file.toString()).points();
@@ -197,98 +204,102 @@
     }
 
     @Test
-    public void aStoppedRunTakenUpAgainGivesTheSameTable() throws Exception {
+    public void interruptedAndResumedExperimentGivesTheSameTable() throws Exception {
         ScenarioFile file = ScenarioFile.parse("s.toml", SMALL + "[sweep]\n\"load.rate\" = [20, 40]\n");
-        PrintStream nowhere = new PrintStream(new ByteArrayOutputStream());
-        Path whole = Files.createTempDirectory("lab");
-        Path parts = Files.createTempDirectory("lab");
-        assertEquals(new Runs(nowhere, whole, file).play(2), 0);
-        List<String> lines = Files.readAllLines(whole.resolve("runs.jsonl"));
-        // Stopped in the middle of its second line.
-        Files.writeString(parts.resolve("runs.jsonl"),
+        PrintStream discarded = new PrintStream(new ByteArrayOutputStream());
+        Path uninterrupted = Files.createTempDirectory("lab");
+        Path resumed = Files.createTempDirectory("lab");
+        assertEquals(new ExperimentRunner(discarded, uninterrupted, file).run(2), 0);
+        List<String> lines = Files.readAllLines(uninterrupted.resolve("runs.jsonl"));
+        // The first run was interrupted while it wrote its second line.
+        Files.writeString(resumed.resolve("runs.jsonl"),
             lines.get(0) + "\n" + lines.get(1).substring(0, lines.get(1).length() / 2));
-        assertEquals(new Runs(nowhere, parts, file).play(1), 0);
-        assertEquals(Files.readString(parts.resolve("table.csv")),
-            Files.readString(whole.resolve("table.csv")));
-        assertEquals(Files.readAllLines(whole.resolve("table.csv")).size(), 3);
+        assertEquals(new ExperimentRunner(discarded, resumed, file).run(1), 0);
+        assertEquals(Files.readString(resumed.resolve("table.csv")),
+            Files.readString(uninterrupted.resolve("table.csv")));
+        assertEquals(Files.readAllLines(uninterrupted.resolve("table.csv")).size(), 3);
     }
 
     @Test
-    public void comparedRunsArePairedBySeedAndSayWhenNothingIsSeen() throws Exception {
-        PrintStream nowhere = new PrintStream(new ByteArrayOutputStream());
+    public void comparisonPairsRunsBySeedAndReportsMissingDifference() throws Exception {
+        PrintStream discarded = new PrintStream(new ByteArrayOutputStream());
         Path folder = Files.createTempDirectory("lab");
         String text = SMALL.replace("[run]", "[run]\nrepeats = 4\npolicies = [\"logic\", \"one-try\"]")
             .replace("rate = 60", "rate = 150");
         Files.writeString(folder.resolve("scenario.toml"), text);
-        new Runs(nowhere, folder, ScenarioFile.parse("s.toml", text)).play(2);
+        new ExperimentRunner(discarded, folder, ScenarioFile.parse("s.toml", text)).run(2);
         List<Results.Row> rows = Results.read(folder);
         List<Results.Row> logic = rows.stream().filter(row -> row.policy().equals("logic")).toList();
         List<Results.Row> oneTry = rows.stream().filter(row -> row.policy().equals("one-try")).toList();
-        ByteArrayOutputStream same = new ByteArrayOutputStream();
-        assertEquals(Compare.say(new PrintStream(same), logic, logic, List.of("service")), 0);
-        assertTrue(same.toString().contains("| 4 | no difference seen |"), same.toString());
-        ByteArrayOutputStream other = new ByteArrayOutputStream();
-        assertEquals(Compare.say(new PrintStream(other), logic, oneTry, List.of("hand_ins")), 1);
-        assertTrue(other.toString().contains("| 4 | differs |"), other.toString());
-        ByteArrayOutputStream one = new ByteArrayOutputStream();
-        Compare.say(new PrintStream(one), logic.subList(0, 1), oneTry, List.of("service"));
-        assertTrue(one.toString().contains("one pair tells nothing"), one.toString());
-        String page = Files.readString(new Report(folder).write());
+        ByteArrayOutputStream samePolicy = new ByteArrayOutputStream();
+        assertEquals(PairedComparison.print(new PrintStream(samePolicy), logic, logic, List.of("service")),
+            0);
+        assertTrue(samePolicy.toString().contains("| 4 | no difference seen |"), samePolicy.toString());
+        ByteArrayOutputStream otherPolicy = new ByteArrayOutputStream();
+        assertEquals(PairedComparison.print(new PrintStream(otherPolicy), logic, oneTry, List.of("hand_ins")),
+            1);
+        assertTrue(otherPolicy.toString().contains("| 4 | differs |"), otherPolicy.toString());
+        ByteArrayOutputStream singlePair = new ByteArrayOutputStream();
+        PairedComparison.print(new PrintStream(singlePair), logic.subList(0, 1), oneTry, List.of("service"));
+        assertTrue(singlePair.toString().contains("one pair is not enough"), singlePair.toString());
+        String page = Files.readString(new HtmlReport(folder).write());
         assertTrue(
             page.contains("data:image/png;base64,") && page.contains("one-try") && !page.contains("http"),
             "page");
     }
 
     @Test
-    public void aSearchFindsWhatMattersCutsTheRestAndWritesADayThatReadsBack() throws Exception {
+    public void searchFindsPlantedCauseRemovesTheRestAndWritesAReadableScenario() throws Exception {
         ScenarioFile file = ScenarioFile.parse("s.toml",
             SMALL + "[sweep]\n\"load.rate\" = [10, 200]\n\"world.relays\" = [1, 9]\n");
-        // Planted: it takes a silence and more than six relays, whatever else there is.
-        Search.Judge planted = day -> (day.point().getOrDefault("world.relays", 2.0) > 6 ? 1 : 0)
-            + (day.troubles().stream().anyMatch(t -> t.type().equals("silent")) ? 1 : 0);
-        Search search = new Search(file, planted, 5, 2, new PrintStream(new ByteArrayOutputStream()));
-        Search.Day found = search.find(40);
+        // The planted loss needs a fault of type silent and more than six relays, and nothing else.
+        WorstCaseSearch.LossFunction planted = candidate -> (candidate.point().getOrDefault("world.relays",
+            2.0) > 6 ? 1 : 0)
+            + (candidate.faults().stream().anyMatch(fault -> fault.type().equals("silent")) ? 1 : 0);
+        WorstCaseSearch search = new WorstCaseSearch(file, planted, 5, 2,
+            new PrintStream(new ByteArrayOutputStream()));
+        WorstCaseSearch.Candidate found = search.find(40);
         assertEquals(found.point().keySet(), Set.of("world.relays"));
-        assertEquals(found.troubles().stream().map(t -> t.type()).toList(), List.of("silent"));
-        Scenario again = ScenarioFile.parse("found.toml", search.text(found)).base();
+        assertEquals(found.faults().stream().map(fault -> fault.type()).toList(), List.of("silent"));
+        Scenario again = ScenarioFile.parse("found.toml", search.toToml(found)).base();
         assertEquals(again.relayCount, found.point().get("world.relays").intValue());
-        assertEquals(again.faults, found.troubles());
+        assertEquals(again.faults, found.faults());
         assertEquals(again.messageClasses, file.base().messageClasses);
         assertEquals(again.requestsPerSecond, 60.0);
-        // The real judge: a day of the same scenario is played by Logic and its rivals.
-        double loss = Search.againstRivals(file).loss(found);
+        // The real loss function runs the policy and its rivals on the candidate.
+        double loss = WorstCaseSearch.againstRivals(file).loss(found);
         assertTrue(loss > -1 && loss < 1, "loss " + loss);
     }
 
     @Test
-    public void theOracleIsNotBeatenWhereALimitDecides() throws ConfigurationException {
+    public void noPolicyBeatsTheOracleAtARateLimit() throws ConfigurationException {
         String text = SMALL.replace("5 s", "20 s").replace("[run]", "[run]\nwarm = \"5 s\"")
             .replace("limit = 30", "limit = 30\nrefused_count = 1")
             .replace("rate = 60", "rate = 80");
-        double oracle = play(text, "oracle", 1).service();
+        double oracle = run(text, "oracle", 1).service();
         for (String policy : Policies.names()) {
-            assertTrue(play(text, policy, 1).service() <= oracle + 0.001, policy);
+            assertTrue(run(text, policy, 1).service() <= oracle + 0.001, policy);
         }
         assertTrue(oracle > 0.99, "oracle " + oracle);
     }
 
     @Test
-    public void theRefereeSeesEachRuleBroken() {
+    public void refereeReportsEachRuleViolation() {
         for (Referee.Rule rule : Referee.Rule.values()) {
             Referee referee = new Referee(true, 250_000, 100_000, 300_000);
             referee.submitted(0, 0, 0, Referee.DeliverySemantics.AT_MOST_ONCE, 1_000_000, 0);
             referee.submitted(0, 1, 1, Referee.DeliverySemantics.IDEMPOTENT, 1_000_000, 0);
             referee.accepted(0, 0, 0);
             referee.accepted(0, 1, 0);
-            Referee.RuleViolation broken = expectThrows(Referee.RuleViolation.class,
-                () -> breakIt(referee, rule));
-            assertEquals(broken.rule, rule);
-            assertTrue(broken.getMessage().contains("HANDED_IN"), broken.getMessage());
+            Referee.RuleViolation violation = expectThrows(Referee.RuleViolation.class,
+                () -> violate(referee, rule));
+            assertEquals(violation.rule, rule);
+            assertTrue(violation.getMessage().contains("HANDED_IN"), violation.getMessage());
         }
     }
 
     @Test
-    public void aRestartEndsTheWaitsThatWereToldBeforeAndNoOthers() {
+    public void relayRestartEndsOnlyWaitsAdvertisedToThatRelay() {
         Referee referee = new Referee(true, 250_000, 100_000, 300_000);
         referee.submitted(0, 0, 0, Referee.DeliverySemantics.IDEMPOTENT, 9_000_000, 0);
         referee.waitAdvertised(0, 1L << 32 | 7, 5_000_000);
@@ -302,12 +313,12 @@
             Referee.Rule.WAIT);
     }
 
-    private static void breakIt(Referee referee, Referee.Rule rule) {
+    private static void violate(Referee referee, Referee.Rule rule) {
         switch (rule) {
             case LOST -> referee.checkLost(1_300_001, 2);
             case TWICE -> {
                 referee.executed(10, 0, 0);
-                // Over a restart, which excuses nothing of that.
+                // A restart in between does not excuse the second execution.
                 referee.relayStopped(0);
                 referee.restored(20, 0, 0);
                 referee.executed(30, 0, 1);
