--- a/lab/src/main/java/yewpath/lab/Main.java
+++ b/lab/src/main/java/yewpath/lab/Main.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import yewpath.configuration.ConfigurationException;
-import yewpath.lab.load.Live;
+import yewpath.lab.load.SocketRun;
 import yewpath.lab.report.HtmlReport;
 import yewpath.lab.report.PairedComparison;
 import yewpath.lab.run.ExperimentRunner;
@@ -149,7 +149,7 @@
                 case "report" -> report(report);
                 case "keys" -> print(ScenarioFile.reference());
                 case "starts" -> starts(starts);
-                case "sizes" -> new Sizes(System.out).run(sizes.messageCount, sizes.destinations);
+                case "sizes" -> new ScalingBenchmark(System.out).run(sizes.messageCount, sizes.destinations);
                 case "footprint" -> footprint(footprint);
                 default -> print("yewpath-lab " + version() + "\n");
             });
@@ -179,7 +179,7 @@
         if (arguments.count < 1_000 || arguments.count > 1_000_000) {
             fail("--count must be from 1000 to 1000000");
         }
-        return new Footprint(System.out).run(arguments.count);
+        return new FootprintBenchmark(System.out).run(arguments.count);
     }
 
     private static int run(RunCommand arguments)
@@ -235,24 +235,26 @@
             if (!Files.exists(Path.of(arguments.relay))) {
                 fail(arguments.relay + " does not exist; name the jar of the relay with --relay");
             }
-            Live live = new Live(System.out, file.base());
-            World.Outcome sockets = live.play(List.of(
+            SocketRun socketRun = new SocketRun(System.out, file.base());
+            World.RunResult socketResult = socketRun.run(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xms76m", "-Xmx76m", "-jar", arguments.relay));
             System.out.println(
                 "| | service | fulfilled | in time | failed | p50 ms | p99 ms | hand-ins | rules broken |\n"
                     + "| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-            System.out.println(Live.line("sockets", sockets));
+            System.out.println(SocketRun.tableRow("sockets", socketResult));
             System.out
-                .println(Live.line("emulated", new World(file.base(), "logic", file.base().seed).play()));
-            for (int i = 0; i < live.usage().size(); i++) {
-                Live.Usage usage = live.usage().get(i);
-                System.out.println("relay " + i + ": " + usage.cpuMs() + " ms of CPU, " + usage.residentMb()
-                    + " MB, " + usage.descriptors()
-                    + " descriptors at most");
+                .println(
+                    SocketRun.tableRow("emulated", new World(file.base(), "logic", file.base().seed).run()));
+            for (int i = 0; i < socketRun.resourceUsage().size(); i++) {
+                SocketRun.ResourceUsage usage = socketRun.resourceUsage().get(i);
+                System.out
+                    .println("relay " + i + ": " + usage.cpuMillis() + " ms of CPU, " + usage.residentMb()
+                        + " MB, " + usage.openDescriptors()
+                        + " descriptors at most");
             }
-            sockets.rulesBroken().forEach(System.out::println);
-            return sockets.broken() == 0 ? 0 : 1;
+            socketResult.violations().forEach(System.out::println);
+            return socketResult.violationCount() == 0 ? 0 : 1;
         } catch (IllegalArgumentException exception) {
             System.err.println("yewpath-lab: " + exception.getMessage());
             return 2;
@@ -299,9 +301,10 @@
                 fail(checkout + " has no deploy/run.sh");
             }
         }
-        return new Starts(System.out, arguments.messageCount, arguments.rate, arguments.destinations).run(
-            checkouts,
-            arguments.times);
+        return new StartupBenchmark(System.out, arguments.messageCount, arguments.rate,
+            arguments.destinations).run(
+                checkouts,
+                arguments.times);
     }
 
     /** Prints an error and exits with code 2. */
--- a/lab/src/main/java/yewpath/lab/run/ExperimentRunner.java
+++ b/lab/src/main/java/yewpath/lab/run/ExperimentRunner.java
@@ -85,13 +85,13 @@
         for (RunSpec run : remaining) {
             pool.execute(() -> {
                 try {
-                    World.Outcome outcome = new World(file.atPoint(run.point), run.policy, run.seed).play();
-                    String line = toJsonLine(run, outcome);
+                    World.RunResult result = new World(file.atPoint(run.point), run.policy, run.seed).run();
+                    String line = toJsonLine(run, result);
                     synchronized (finished) {
                         Files.writeString(resultsFile, line, StandardOpenOption.CREATE,
                             StandardOpenOption.APPEND);
-                        writeDelays(run, outcome);
-                        writeSeries(run, outcome);
+                        writeDelays(run, result);
+                        writeSeries(run, result);
                         lineByRun.put(run.id(), line);
                         printProgress(++finished[0], remaining.size(), startedNanos);
                     }
@@ -177,17 +177,18 @@
         return lineByRun;
     }
 
-    private static double[] metricsOf(World.Outcome outcome) {
-        return new double[]{outcome.service(), outcome.fulfilled(), outcome.inTime(), outcome.failed(),
-            outcome.wishes(), outcome.handIns(),
-            outcome.refusals(), outcome.deferrals(),
-            outcome.falls(), outcome.broken(), outcome.events(),
-            outcome.delays().getValueAtPercentile(50) / 1e3,
-            outcome.delays().getValueAtPercentile(99) / 1e3,
-            outcome.delays().getValueAtPercentile(99.9) / 1e3};
+    private static double[] metricsOf(World.RunResult result) {
+        return new double[]{result.revenueShare(), result.deliveredShare(), result.onTimeShare(),
+            result.failedShare(),
+            result.requests(), result.submissions(),
+            result.refusals(), result.rejections(),
+            result.collapses(), result.violationCount(), result.eventCount(),
+            result.deliveryDelays().getValueAtPercentile(50) / 1e3,
+            result.deliveryDelays().getValueAtPercentile(99) / 1e3,
+            result.deliveryDelays().getValueAtPercentile(99.9) / 1e3};
     }
 
-    private static String toJsonLine(RunSpec run, World.Outcome outcome) throws IOException {
+    private static String toJsonLine(RunSpec run, World.RunResult result) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
@@ -199,7 +200,7 @@
                 out.writeNumberField(parameter.getKey(), parameter.getValue());
             }
             out.writeEndObject();
-            double[] metrics = metricsOf(outcome);
+            double[] metrics = metricsOf(result);
             for (int i = 0; i < metrics.length; i++) {
                 out.writeNumberField(METRICS.get(i), metrics[i]);
             }
@@ -208,17 +209,19 @@
         return text + "\n";
     }
 
-    private void writeSeries(RunSpec run, World.Outcome outcome) throws IOException {
+    private void writeSeries(RunSpec run, World.RunResult result) throws IOException {
         StringBuilder csv = new StringBuilder(
             "at_s,wished,fulfilled,refused,held,serving,waiting,relay_0_holds,relay_0_out\n");
-        for (World.Moment moment : outcome.series()) {
-            csv.append(moment.at() / 1e6).append(',').append(moment.wished()).append(',')
-                .append(moment.fulfilled())
-                .append(',').append(moment.refused())
-                .append(',').append(moment.held()).append(',').append(moment.serving()).append(',')
-                .append(moment.waiting())
+        for (World.Sample sample : result.samples()) {
+            csv.append(sample.atMicros() / 1e6).append(',').append(sample.requests()).append(',')
+                .append(sample.deliveries())
+                .append(',').append(sample.refusedOrRejected())
+                .append(',').append(sample.openMessages()).append(',').append(sample.callsInService())
                 .append(',')
-                .append(moment.oneHolds()).append(',').append(moment.oneHasOut()).append('\n');
+                .append(sample.callsQueued())
+                .append(',')
+                .append(sample.firstRelayOpenMessages()).append(',').append(sample.firstRelayOpenCalls())
+                .append('\n');
         }
         Files.writeString(
             Files.createDirectories(folder.resolve("series")).resolve(fileName(run.id()) + ".csv"),
@@ -230,13 +233,13 @@
         return id.replaceAll("[^A-Za-z0-9.=_-]", "_");
     }
 
-    private void writeDelays(RunSpec run, World.Outcome outcome) throws IOException {
+    private void writeDelays(RunSpec run, World.RunResult result) throws IOException {
         Path delaysFolder = Files.createDirectories(folder.resolve("delays"));
         try (
             PrintStream file = new PrintStream(delaysFolder.resolve(fileName(run.id()) + ".hgrm").toFile())) {
             HistogramLogWriter log = new HistogramLogWriter(file);
             log.outputLogFormatVersion();
-            log.outputIntervalHistogram(outcome.delays());
+            log.outputIntervalHistogram(result.deliveryDelays());
         }
     }
 
--- a/lab/src/main/java/yewpath/lab/run/WorstCaseSearch.java
+++ b/lab/src/main/java/yewpath/lab/run/WorstCaseSearch.java
@@ -83,12 +83,13 @@
             Scenario strict = scenario(file, candidate);
             strict.strict = true;
             try {
-                double service = new World(strict, "logic", strict.seed).play().service();
+                double service = new World(strict, "logic", strict.seed).run().revenueShare();
                 double bestRival = 0;
                 for (String rival : RIVAL_POLICIES) {
-                    World.Outcome outcome = new World(scenario(file, candidate), rival, strict.seed).play();
+                    World.RunResult result = new World(scenario(file, candidate), rival, strict.seed).run();
                     // The result of a rival that violates a rule does not count.
-                    bestRival = outcome.broken() > 0 ? bestRival : Math.max(bestRival, outcome.service());
+                    bestRival = result.violationCount() > 0 ? bestRival
+                        : Math.max(bestRival, result.revenueShare());
                 }
                 return bestRival - service;
             } catch (Referee.RuleViolation violation) {
--- a/lab/src/test/java/yewpath/lab/EmulatorTest.java
+++ b/lab/src/test/java/yewpath/lab/EmulatorTest.java
@@ -40,8 +40,8 @@
         + "keys = 4\n[endpoint]\nlimit = 30\nlimit_wait = \"300 ms\"\n[[offering]]\nname = \"a\"\n[[offering]]\nname = \"b\"\nkind = \"once-only\"\n"
         + "[[offering]]\nname = \"c\"\nkind = \"tagged\"\nordered = true\n";
 
-    private static World.Outcome run(String text, String policy, long seed) throws ConfigurationException {
-        return new World(ScenarioFile.parse("s.toml", text).atPoint(Map.of()), policy, seed).play();
+    private static World.RunResult run(String text, String policy, long seed) throws ConfigurationException {
+        return new World(ScenarioFile.parse("s.toml", text).atPoint(Map.of()), policy, seed).run();
     }
 
     @Test
@@ -101,12 +101,12 @@
 
     @Test
     public void sameSeedGivesSameRunAndOtherSeedAnother() throws ConfigurationException {
-        World.Outcome first = run(SMALL, "logic", 1);
-        World.Outcome again = run(SMALL, "logic", 1);
-        assertEquals(again.events(), first.events());
-        assertEquals(again.service(), first.service());
-        assertEquals(again.delays(), first.delays());
-        assertNotEquals(run(SMALL, "logic", 2).events(), first.events());
+        World.RunResult first = run(SMALL, "logic", 1);
+        World.RunResult again = run(SMALL, "logic", 1);
+        assertEquals(again.eventCount(), first.eventCount());
+        assertEquals(again.revenueShare(), first.revenueShare());
+        assertEquals(again.deliveryDelays(), first.deliveryDelays());
+        assertNotEquals(run(SMALL, "logic", 2).eventCount(), first.eventCount());
     }
 
     @DataProvider
@@ -125,9 +125,10 @@
             + fault("partition", 13, 2, 0.5, 1)
             + fault("vanish", 14, 2, 0.4, 1) + fault("burst", 15, 2, 0, 4)
             + fault("slow", 16, 2, 1, 10);
-        World.Outcome outcome = run(scenario.replace("[endpoint]", "[endpoint]\nfalls_at = 0"), policy, 3);
-        assertTrue(outcome.fulfilled() > 0.3, policy + " delivered a share of " + outcome.fulfilled());
-        assertEquals(outcome.broken(), 0, outcome.rulesBroken().toString());
+        World.RunResult result = run(scenario.replace("[endpoint]", "[endpoint]\nfalls_at = 0"), policy, 3);
+        assertTrue(result.deliveredShare() > 0.3,
+            policy + " delivered a share of " + result.deliveredShare());
+        assertEquals(result.violationCount(), 0, result.violations().toString());
     }
 
     private static String fault(String type, int startSeconds, int durationSeconds, double share,
@@ -155,18 +156,18 @@
     @Test(dataProvider = "extremeScenarios")
     public void extremeScenariosRunWithoutViolations(String description, String text)
         throws ConfigurationException {
-        World.Outcome outcome = run(text, "logic", 1);
-        assertEquals(outcome.broken(), 0, description);
-        assertTrue(outcome.wishes() > 0 == !description.equals("no traffic"), description);
+        World.RunResult result = run(text, "logic", 1);
+        assertEquals(result.violationCount(), 0, description);
+        assertTrue(result.requests() > 0 == !description.equals("no traffic"), description);
     }
 
     @Test
     public void withoutFaultsAllIsDeliveredAfterServiceAndNetworkTime() throws ConfigurationException {
-        World.Outcome outcome = run(
+        World.RunResult result = run(
             "[run]\nlength = \"20 s\"\n[endpoint]\nspread = 0.0\n[network]\nspread = 0.0", "one-try", 1);
-        assertEquals(outcome.fulfilled(), 1.0);
+        assertEquals(result.deliveredShare(), 1.0);
         // The service takes 20 ms, the way to the endpoint and back and the way from the client 1 ms each.
-        assertEquals(outcome.delays().getValueAtPercentile(50) / 1e3, 23.0, 1.0);
+        assertEquals(result.deliveryDelays().getValueAtPercentile(50) / 1e3, 23.0, 1.0);
     }
 
     @DataProvider
@@ -276,9 +277,9 @@
         String text = SMALL.replace("5 s", "20 s").replace("[run]", "[run]\nwarm = \"5 s\"")
             .replace("limit = 30", "limit = 30\nrefused_count = 1")
             .replace("rate = 60", "rate = 80");
-        double oracle = run(text, "oracle", 1).service();
+        double oracle = run(text, "oracle", 1).revenueShare();
         for (String policy : Policies.names()) {
-            assertTrue(run(text, policy, 1).service() <= oracle + 0.001, policy);
+            assertTrue(run(text, policy, 1).revenueShare() <= oracle + 0.001, policy);
         }
         assertTrue(oracle > 0.99, "oracle " + oracle);
     }
