--- a/relay/src/test/java/yewpath/ConnectionsTest.java
+++ b/relay/src/test/java/yewpath/ConnectionsTest.java
@@ -60,14 +60,14 @@
     private final class Attempt implements Call.Attempt {
         final List<Integer> outcomes = new CopyOnWriteArrayList<>();
         final String id;
-        final long expiry;
-        final long leaveBy;
+        final long deadlineMicros;
+        final long sendByMicros;
         byte[] body = {'x'};
 
         Attempt(String id, long expiresInMicros, long sendWithinMicros) {
             this.id = id;
-            expiry = loop.nowMicros() + expiresInMicros;
-            leaveBy = loop.nowMicros() + sendWithinMicros;
+            deadlineMicros = loop.nowMicros() + expiresInMicros;
+            sendByMicros = loop.nowMicros() + sendWithinMicros;
         }
 
         @Override
@@ -76,12 +76,12 @@
         }
 
         @Override
-        public String key() {
+        public String affinityKey() {
             return null;
         }
 
         @Override
-        public String tag() {
+        public String idempotencyKey() {
             return null;
         }
 
@@ -94,21 +94,21 @@
         }
 
         @Override
-        public long expiry() {
-            return expiry;
+        public long deadlineMicros() {
+            return deadlineMicros;
         }
 
-        public void callOver() {}
+        public void onCallEnd() {}
 
-        public long leaveBy() {
-            return leaveBy;
+        public long sendByMicros() {
+            return sendByMicros;
         }
 
         @Override
-        public void leaving() {}
+        public void beforeSend() {}
 
         @Override
-        public void ended(int outcome, long retryAfterMicros, boolean finished, double remainingShare,
+        public void onEnd(int outcome, long retryAfterMicros, boolean finished, double remainingShare,
             double limit) {
             outcomes.add(outcome);
         }
@@ -116,8 +116,8 @@
 
     private void send(Attempt attempt, InetSocketAddress address) {
         loop.thread().execute(() -> {
-            delivery.place(0, address);
-            delivery.call(0, List.of(attempt), attempt.expiry);
+            delivery.setAddress(0, address);
+            delivery.startCall(0, List.of(attempt), attempt.deadlineMicros);
         });
     }
 
@@ -153,7 +153,7 @@
             send(attempt, socketAddress(endpoint.address()));
             waitUntil("the attempt has ended", 2_000, () -> attempt.outcomes.size() == 1);
             assertEquals(attempt.outcomes, List.of(PolicyActions.NOT_EXECUTED));
-            assertEquals(delivery.callsOut(), 0);
+            assertEquals(delivery.callsInFlight(), 0);
             Attempt next = new Attempt("next", 20_000_000, 20_000_000);
             send(next, socketAddress(endpoint.address()));
             waitUntil("the next message is delivered", 2_000,
@@ -163,7 +163,7 @@
 
     /**
      * Guards against a lost success: the response arrives before the message expires but is still unread when
-     * the timer runs. The event loop's thread is blocked from before the response until after the expiry.
+     * the timer runs. The event loop's thread is blocked from before the response until after the deadline.
      */
     @Test
     public void responseInTheSocketAtTheExpiryCounts() throws Exception {
@@ -178,7 +178,7 @@
                 } catch (IOException exception) {
                     attempt.outcomes.add(100);
                 }
-                RelayFixture.pause(Math.max(1, (attempt.expiry - loop.nowMicros()) / 1000 + 20));
+                RelayFixture.pause(Math.max(1, (attempt.deadlineMicros - loop.nowMicros()) / 1000 + 20));
                 loopReleased.countDown();
             });
             assertTrue(loopReleased.await(5, TimeUnit.SECONDS));
@@ -237,8 +237,8 @@
 
     private void sendTogether(InetSocketAddress address, Attempt... attempts) {
         loop.thread().execute(() -> {
-            delivery.place(0, address);
-            delivery.call(0, List.of(attempts), attempts[0].expiry);
+            delivery.setAddress(0, address);
+            delivery.startCall(0, List.of(attempts), attempts[0].deadlineMicros);
         });
     }
 
--- a/relay/src/test/java/yewpath/DeliveryTest.java
+++ b/relay/src/test/java/yewpath/DeliveryTest.java
@@ -238,14 +238,14 @@
             new Class<?>[]{Call.Attempt.class}, (proxy, method, args) -> switch (method.getName()) {
                 case "id" -> "q" + outcomes.get();
                 case "body" -> new byte[0];
-                case "expiry", "leaveBy" -> loop.nowMicros() + 5_000_000;
-                case "ended" -> outcomes.addAndGet((int) args[0] == PolicyActions.DELIVERED ? 1 : 100);
+                case "deadlineMicros", "sendByMicros" -> loop.nowMicros() + 5_000_000;
+                case "onEnd" -> outcomes.addAndGet((int) args[0] == PolicyActions.DELIVERED ? 1 : 100);
                 case "equals" -> proxy == args[0];
                 default -> null;
             });
         loop.thread().execute(() -> {
-            delivery.place(0, new InetSocketAddress("127.0.0.1", endpoint.port()));
-            delivery.call(0, List.of(attempt), loop.nowMicros() + 5_000_000);
+            delivery.setAddress(0, new InetSocketAddress("127.0.0.1", endpoint.port()));
+            delivery.startCall(0, List.of(attempt), loop.nowMicros() + 5_000_000);
         });
         waitUntil("the first message is delivered", 2000, () -> outcomes.get() == 1);
         loop.thread().execute(() -> {
@@ -258,7 +258,7 @@
                 outcomes.addAndGet(100);
             }
             RelayFixture.pause(100);
-            delivery.call(0, List.of(attempt), loop.nowMicros() + 5_000_000);
+            delivery.startCall(0, List.of(attempt), loop.nowMicros() + 5_000_000);
         });
         waitUntil("the next message is delivered", 2000, () -> outcomes.get() == 2);
         worker.shutdownNow();
@@ -365,9 +365,9 @@
     }
 
     private long openDescriptorCount() throws IOException {
-        try (Stream<Path> openDescriptorCount = Files
+        try (Stream<Path> entries = Files
             .list(Path.of("/proc/" + fixture.process.pid() + "/fd"))) {
-            return openDescriptorCount.count();
+            return entries.count();
         }
     }
 
@@ -784,8 +784,8 @@
     }
 
     /**
-     * Guards against a slowed send rate: a server without room for another connection answers 503 and closes
-     * it. Only other responses 503 mean that the limit of the endpoint was reached.
+     * Guards against a slowed send rate: a server without room for another connection answers a new one with
+     * 503 without Retry-After and closes it. Only other responses 503 mean that the endpoint is overloaded.
      */
     @Test
     public void fullConnectionTableIsNotTreatedAsOverload() throws Exception {
