--- a/lab/src/main/java/yewpath/lab/referee/Referee.java
+++ b/lab/src/main/java/yewpath/lab/referee/Referee.java
@@ -26,7 +26,7 @@
         AT_ONCE,
         /** No call is sent to an endpoint that was reported as draining. */
         DRAIN,
-        /** A destination that warms up after an outage does not collapse under the calls of the relays. */
+        /** An endpoint that warms up after an outage does not collapse under the calls of the relays. */
         PUSHED_OVER,
         /** At most one message of an ordering key is at an endpoint at any time. */
         ORDER,
