--- a/lab/src/main/java/yewpath/lab/ScalingBenchmark.java
+++ b/lab/src/main/java/yewpath/lab/ScalingBenchmark.java
@@ -27,7 +27,8 @@
     /** Prints a table of runs up to these numbers of messages and destinations, and returns the exit code. */
     int run(long maxMessages, int maxDestinations) throws ConfigurationException {
         output.println(
-            "| envelopes | destinations | relays | seconds | events a second | Logic us an envelope | heap MB after |\n"
+            "| envelopes | destinations | relays | seconds | events a second "
+                + "| Logic us an envelope | heap MB after |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- |");
         // This run only gives the JIT compiler time; it is not printed.
         measure(20_000, 100, 4, false);
--- a/lab/src/main/java/yewpath/lab/StartupBenchmark.java
+++ b/lab/src/main/java/yewpath/lab/StartupBenchmark.java
@@ -71,7 +71,8 @@
             }
         }
         output.println(
-            "| checkout | ready ms | CPU until ready ms | resident MB after the load | CPU us an envelope | fulfilled |\n"
+            "| checkout | ready ms | CPU until ready ms | resident MB after the load "
+                + "| CPU us an envelope | fulfilled |\n"
                 + "| --- | --- | --- | --- | --- | --- |");
         for (int i = 0; i < checkouts.size(); i++) {
             List<Measurement> ofCheckout = measurements.get(i);
--- a/lab/src/main/java/yewpath/lab/load/SocketEndpoint.java
+++ b/lab/src/main/java/yewpath/lab/load/SocketEndpoint.java
@@ -40,7 +40,7 @@
 
     /** Opens or closes the port, depending on whether the emulated endpoint accepts connections now. */
     void updatePort() {
-        boolean refuses = endpoint.connectResult() != 0;
+        boolean refuses = endpoint.connectResult() != EmulatedEndpoint.CONNECTED;
         if (refuses && port != null) {
             port.close();
             port = null;
@@ -61,7 +61,7 @@
 
     @Override
     public int destination() {
-        return endpoint.destination();
+        return endpoint.destinationIndex();
     }
 
     @Override
--- a/lab/src/main/java/yewpath/lab/world/ClientPopulation.java
+++ b/lab/src/main/java/yewpath/lab/world/ClientPopulation.java
@@ -50,8 +50,8 @@
     private final Referee referee;
     private final RandomStream arrivals;
     private final RandomStream choices;
-    private final RandomStream clients;
-    private final RandomStream front;
+    private final RandomStream retryDelays;
+    private final RandomStream loadBalancer;
     /** Cumulative weights of the destinations. */
     private final double[] cumulativePopularity;
     /** Cumulative shares of the message classes. */
@@ -61,19 +61,20 @@
     private int requestsCreated;
     private int messagesSubmitted;
 
-    // Statistics of the requests created after the warm-up, unless said otherwise.
+    // Statistics of the requests created after the warm-up.
     final Histogram deliveryDelays = new Histogram(MAX_DELAY_MICROS, 3);
     long requests;
     long delivered;
-    /** Includes the deliveries of requests created during the warm-up, for the samples. */
-    long deliveredIncludingWarmUp;
     long deliveredOnTime;
     long failed;
+    double revenue;
+    double possibleRevenue;
+
+    // Statistics of the whole run.
+    long deliveredIncludingWarmUp;
     long refusals;
     long rejections;
     long submissions;
-    double revenue;
-    double possibleRevenue;
 
     ClientPopulation(World world) {
         this.world = world;
@@ -82,8 +83,8 @@
         referee = world.referee;
         arrivals = world.randomStream("arrivals");
         choices = world.randomStream("choices");
-        clients = world.randomStream("clients");
-        front = world.randomStream("front");
+        retryDelays = world.randomStream("clients");
+        loadBalancer = world.randomStream("front");
         cumulativePopularity = new double[scenario.destinationCount];
         double sum = 0;
         for (int i = 0; i < cumulativePopularity.length; i++) {
@@ -111,7 +112,7 @@
         if (calendar.nowMicros() >= scenario.lengthMicros) {
             return;
         }
-        // Compound Poisson process: the clump sizes have a geometric distribution with the configured mean.
+        // Compound Poisson process: the batch sizes have a geometric distribution with the configured mean.
         int size = 1;
         while (scenario.meanArrivalBatchSize > 1
             && arrivals.uniform() < 1 - 1 / scenario.meanArrivalBatchSize) {
@@ -150,7 +151,7 @@
     }
 
     private void submit(ClientRequest request) {
-        Relay relay = world.chooseRelay(front);
+        Relay relay = world.chooseRelay(loadBalancer);
         Message message = new Message(messagesSubmitted++, request);
         request.submissions++;
         submissions++;
@@ -231,7 +232,7 @@
     }
 
     private void resubmit(ClientRequest request, long retryAfterMicros) {
-        long clientPause = (long) (scenario.clientRetryDelayMicros * (0.5 + clients.uniform()));
+        long clientPause = (long) (scenario.clientRetryDelayMicros * (0.5 + retryDelays.uniform()));
         long pause = scenario.clientsHonorRetryAfter ? Math.max(retryAfterMicros, clientPause) : clientPause;
         if (request.finished || request.submissions > scenario.maxClientRetries
             || calendar.nowMicros() + pause >= request.expiresAtMicros) {
--- a/lab/src/main/java/yewpath/lab/world/Destination.java
+++ b/lab/src/main/java/yewpath/lab/world/Destination.java
@@ -11,7 +11,7 @@
     private long tokensUpdatedMicros;
     private long windowStartMicros;
     private int countInWindow;
-    /** Factor on the limit; below 1 while a trouble lowers it. */
+    /** Factor on the limit; below 1 while a fault lowers it. */
     double limitFactor = 1;
     /** Calls on their way that have not arrived at an endpoint yet. */
     int callsInTransit;
--- a/lab/src/main/java/yewpath/lab/world/EmulatedEndpoint.java
+++ b/lab/src/main/java/yewpath/lab/world/EmulatedEndpoint.java
@@ -14,6 +14,12 @@
  * injects.
  */
 public final class EmulatedEndpoint {
+    /** Result of a connection attempt: the connection is established. */
+    public static final int CONNECTED = 0;
+    /** Result of a connection attempt: the endpoint refuses it at once. */
+    public static final int REFUSED = 1;
+    /** Result of a connection attempt: it times out. */
+    public static final int NO_RESPONSE = 2;
     private static final long SECOND_MICROS = 1_000_000;
     /** An endpoint that warms up tolerates this many calls a second, however small its capacity is. */
     private static final int MIN_CALLS_TO_COLLAPSE = 4;
@@ -92,7 +98,7 @@
     }
 
     /** Index of the endpoint's destination. */
-    public int destination() {
+    public int destinationIndex() {
         return destination.index;
     }
 
@@ -108,9 +114,9 @@
             destination.freeCalls(calendar.nowMicros()) - destination.callsInTransit);
     }
 
-    /** What happens to a new connection: 0 established, 1 refused at once, 2 no response. */
+    /** What happens to a new connection: {@link #CONNECTED}, {@link #REFUSED} or {@link #NO_RESPONSE}. */
     public int connectResult() {
-        return vanished ? 2 : refusing ? 1 : 0;
+        return vanished ? NO_RESPONSE : refusing ? REFUSED : CONNECTED;
     }
 
     /** The last byte of a call arrives. */
--- a/lab/src/main/java/yewpath/lab/world/EmulatedRelay.java
+++ b/lab/src/main/java/yewpath/lab/world/EmulatedRelay.java
@@ -18,6 +18,9 @@
 final class EmulatedRelay implements PolicyActions, Relay, ResponseListener {
     /** The wait that a relay without room for another message asks a client for. */
     private static final long FULL_RETRY_AFTER_MICROS = 1_000_000;
+    /** Phase of a listed endpoint, as the policy expects it. */
+    private static final int PHASE_UP = 0;
+    private static final int PHASE_DRAINING = 1;
     private final World world;
     private final Scenario scenario;
     private final EventCalendar calendar;
@@ -173,7 +176,7 @@
             for (EmulatedEndpoint endpoint : world.endpoints) {
                 if (complete || endpoint.draining || includeUnchanged) {
                     policy.endpointListed(endpoint.index, 0, 0, endpoint.destination.index,
-                        endpoint.draining ? 1 : 0, world.listedRate(), 0);
+                        endpoint.draining ? PHASE_DRAINING : PHASE_UP, world.listedRate(), 0);
                     referee.endpointListed(calendar.nowMicros(), index, endpoint.index, !endpoint.draining);
                 }
             }
@@ -200,7 +203,7 @@
         handle(() -> {
             policy.endpointListStarted(false, false);
             policy.endpointListed(endpoint.index, 0, 0, endpoint.destination.index,
-                endpoint.draining ? 1 : 0, world.listedRate(), 0);
+                endpoint.draining ? PHASE_DRAINING : PHASE_UP, world.listedRate(), 0);
             policy.endpointListEnded();
         });
     }
@@ -238,8 +241,9 @@
         int scheduledIn = incarnation;
         long delayMicros = world.networkDelay();
         calendar.scheduleAfter(delayMicros, () -> {
-            int result = world.isPartitioned(index, attempt.endpoint) ? 2 : attempt.endpoint.connectResult();
-            if (result == 2) {
+            int result = world.isPartitioned(index, attempt.endpoint) ? EmulatedEndpoint.NO_RESPONSE
+                : attempt.endpoint.connectResult();
+            if (result == EmulatedEndpoint.NO_RESPONSE) {
                 calendar.scheduleAfter(Math.max(0, scenario.connectTimeoutMicros - delayMicros), () -> {
                     if (scheduledIn == incarnation) {
                         settle(attempt, UNREACHABLE, 0);
@@ -247,12 +251,13 @@
                 });
                 return;
             }
-            calendar.scheduleAfter(world.networkDelay() + (result == 0 ? scenario.handshakeMicros : 0),
+            calendar.scheduleAfter(
+                world.networkDelay() + (result == EmulatedEndpoint.CONNECTED ? scenario.handshakeMicros : 0),
                 () -> {
                     if (scheduledIn != incarnation || attempt.settled) {
                         return;
                     }
-                    if (result == 1) {
+                    if (result == EmulatedEndpoint.REFUSED) {
                         settle(attempt, UNREACHABLE, 0);
                     } else {
                         sendRequest(attempt);
--- a/lab/src/main/java/yewpath/lab/world/World.java
+++ b/lab/src/main/java/yewpath/lab/world/World.java
@@ -13,14 +13,15 @@
  */
 public final class World {
     /**
-     * The results of a run, of the requests created after the warm-up.
+     * The results of a run. The shares, {@code requests} and {@code deliveryDelays} cover the requests
+     * created after the warm-up; everything else covers the whole run.
      *
      * @param revenueShare revenue earned as a share of the possible revenue, 1 if there was none to earn
      * @param deliveredShare share of the requests that were delivered
      * @param onTimeShare share of the requests that were delivered within the agreed time
      * @param failedShare share of the requests that failed for good
      * @param requests number of requests
-     * @param submissions messages submitted in the whole run, including resubmissions
+     * @param submissions messages submitted, including resubmissions
      * @param refusals submissions that a relay refused
      * @param rejections messages that a relay accepted and rejected later
      * @param collapses how often an endpoint collapsed while it was cold
@@ -110,8 +111,7 @@
         RandomStream serviceTimes = randomStream("service");
         for (int i = 0; i < endpoints.length; i++) {
             endpoints[i] = new EmulatedEndpoint(i, destinations[i / scenario.endpointsPerDestination],
-                scenario,
-                calendar, referee, serviceTimes, faults);
+                scenario, calendar, referee, serviceTimes, faults);
         }
         partitioned = new boolean[endpoints.length];
         clients = new ClientPopulation(this);
--- a/lab/src/test/java/yewpath/lab/DecisionDigestTest.java
+++ b/lab/src/test/java/yewpath/lab/DecisionDigestTest.java
@@ -11,12 +11,13 @@
 import yewpath.PolicySettings;
 
 /**
- * Compares every action of the decision module, in order, with those recorded before a refactoring. A rename or a split
- * leaves the digests as they are; a deliberate change of decisions replaces them, in the commit that says why.
+ * Compares every action of the delivery policy, in order, with the actions recorded before a refactoring.
+ * Renaming or splitting code must not change the digests. A deliberate change of decisions replaces them, in
+ * a commit that gives the reason.
  */
 public final class DecisionDigestTest {
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000_000;
+    private static final long MILLISECOND_MICROS = 1_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     @DataProvider
     public Object[][] fleets() {
@@ -25,16 +26,17 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void everyActionIsAsRecorded(String name) throws IOException {
+    public void actionsMatchRecordedDigest(String name) throws IOException {
         Properties recorded = new Properties();
-        try (InputStream in = DecisionDigestTest.class.getResourceAsStream("/decision-digests.properties")) {
-            recorded.load(in);
+        try (InputStream input = DecisionDigestTest.class
+            .getResourceAsStream("/decision-digests.properties")) {
+            recorded.load(input);
         }
         assertEquals(play(name, 1), recorded.getProperty(name), "digest of fleet " + name);
     }
 
     @Test
-    public void anotherSeedIsAnotherDigest() {
+    public void digestDependsOnSeed() {
         assertNotEquals(play("plain", 2), play("plain", 1));
     }
 
@@ -58,7 +60,7 @@
             }
             case "asked" -> {
                 settings.listOnRequest = true;
-                settings.listRequestIntervalMicros = 2 * SECOND;
+                settings.listRequestIntervalMicros = 2 * SECOND_MICROS;
             }
             case "crowded" -> {
                 settings.maxConcurrentCalls = 6;
@@ -95,26 +97,26 @@
         settings.cancelAllowed = true;
         settings.listReportsRate = true;
         settings.reportsRetryAfter = true;
-        settings.maxRetryAfterMicros = 3 * SECOND;
+        settings.maxRetryAfterMicros = 3 * SECOND_MICROS;
         settings.warmUpInitialShare = 0.18;
-        settings.warmUpMicros = 6 * SECOND;
+        settings.warmUpMicros = 6 * SECOND_MICROS;
         settings.collapseMultiple = 2;
-        settings.collapseWindowMicros = 2 * SECOND;
-        settings.connectTimeoutMicros = SECOND;
-        settings.idleConnectionTimeoutMicros = 10 * SECOND;
-        settings.settleAfterUncertainMicros = 500 * MS;
+        settings.collapseWindowMicros = 2 * SECOND_MICROS;
+        settings.connectTimeoutMicros = SECOND_MICROS;
+        settings.idleConnectionTimeoutMicros = 10 * SECOND_MICROS;
+        settings.settleAfterUncertainMicros = 500 * MILLISECOND_MICROS;
         settings.limitPerEndpoint = new boolean[]{false, false, true};
         settings.maxBatchSize = new int[]{1, 5, 1};
         settings.zoneFees = new double[2];
         settings.messageClasses = new PolicySettings.MessageClass[]{
-            new PolicySettings.MessageClass(1, 0.1, SECOND, 8 * SECOND,
+            new PolicySettings.MessageClass(1, 0.1, SECOND_MICROS, 8 * SECOND_MICROS,
                 PolicySettings.DeliverySemantics.IDEMPOTENT, false, 0, false),
-            new PolicySettings.MessageClass(2, 0.4, 2 * SECOND, 12 * SECOND,
-                PolicySettings.DeliverySemantics.DEDUPLICATED, true, 4 * SECOND,
+            new PolicySettings.MessageClass(2, 0.4, 2 * SECOND_MICROS, 12 * SECOND_MICROS,
+                PolicySettings.DeliverySemantics.DEDUPLICATED, true, 4 * SECOND_MICROS,
                 false),
-            new PolicySettings.MessageClass(1, 0.4, 3 * SECOND, 20 * SECOND,
+            new PolicySettings.MessageClass(1, 0.4, 3 * SECOND_MICROS, 20 * SECOND_MICROS,
                 PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, false),
-            new PolicySettings.MessageClass(3, 0.3, 3 * SECOND, 20 * SECOND,
+            new PolicySettings.MessageClass(3, 0.3, 3 * SECOND_MICROS, 20 * SECOND_MICROS,
                 PolicySettings.DeliverySemantics.AT_MOST_ONCE, false, 0, true)};
         return settings;
     }
