--- a/relay/src/test/java/yewpath/ClosingTest.java
+++ b/relay/src/test/java/yewpath/ClosingTest.java
@@ -19,176 +19,208 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.testng.annotations.Test;
 
-/** The end of a relay: whoever reaches it has an answer, and nobody holds it past its time. */
+/**
+ * Shutdown of a relay: each client that has connected gets a response, and no peer delays the exit beyond
+ * its limit.
+ */
 public final class ClosingTest extends Stand.Tests {
     private final List<Socket> sockets = new ArrayList<>();
 
-    private Socket connected() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket = stand.connect();
         sockets.add(socket);
         return socket;
     }
 
-    private static void say(Socket socket, String words) throws IOException {
-        socket.getOutputStream().write(words.getBytes(StandardCharsets.ISO_8859_1));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /**
-     * Asked to end, the relay is held still as soon as it has begun to: what follows all finds it at one moment. It stays
-     * for as long as told in any case, so that it is held before its end is due however busy the machine.
+     * Sends SIGTERM and stops the process with SIGSTOP as soon as the shutdown has begun, so that the relay
+     * finds everything that arrives meanwhile at once. The configured minimum duration of the shutdown
+     * ensures that the process is stopped before its exit is due, even on a busy machine. Returns the time
+     * of the SIGTERM in nanoseconds.
      */
-    private long terminateAndHold() throws Exception {
-        long asked = System.nanoTime();
+    private long terminateAndSuspend() throws Exception {
+        long terminatedNanos = System.nanoTime();
         stand.process.destroy();
-        until("it begins to close", 2000, () -> stand.hasLogged("relay.closing"));
+        until("the shutdown begins", 2000, () -> stand.hasLogged("relay.closing"));
         stand.signal("STOP");
-        return asked;
+        return terminatedNanos;
     }
 
-    /** Past that time, so that its end is due when it goes on. */
-    private void goOnAtItsEnd(long asked) throws Exception {
-        until("its end is due", 3000, () -> System.nanoTime() - asked > 1_200_000_000L);
+    /**
+     * Resumes the process once the minimum duration of the shutdown is over, so that its exit is due at
+     * once.
+     */
+    private void resumeWhenExitIsDue(long terminatedNanos) throws Exception {
+        until("the exit is due", 3000, () -> System.nanoTime() - terminatedNanos > 1_200_000_000L);
         stand.signal("CONT");
     }
 
-    private void endsInTime() throws Exception {
-        assertTrue(stand.process.waitFor(3_600, TimeUnit.MILLISECONDS), "it stays past its bound");
+    private void assertExitsInTime() throws Exception {
+        assertTrue(stand.process.waitFor(3_600, TimeUnit.MILLISECONDS),
+            "the relay runs longer than the shutdown limit");
         assertEquals(stand.process.exitValue(), 0);
         for (Socket socket : sockets) {
             socket.close();
         }
     }
 
+    /**
+     * Guards against clients that get a reset instead of a response, because the relay exits while
+     * connections still wait to be accepted or requests to be read. Covers idle, new and incomplete requests
+     * at the moment when the exit is due.
+     */
     @Test
-    public void whoeverHasConnectedWhenItsEndIsDueIsAnswered() throws Exception {
+    public void everyConnectedClientIsAnsweredWhenExitIsDue() throws Exception {
         stand.operator = "[closing]\nleast = \"1 s\"\n";
-        stand.endpoint(1, got -> OK);
+        stand.endpoint(1, request -> OK);
         stand.start();
-        List<Socket> resting = new ArrayList<>();
+        List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            resting.add(connected());
+            idle.add(connect());
             assertEquals(
-                Stand.ask(resting.get(i), Stand.envelope("before" + i, "status", 1, 7900, "x")).status(),
+                Stand.ask(idle.get(i), Stand.envelope("before" + i, "status", 1, 7900, "x")).status(),
                 202);
         }
-        long asked = terminateAndHold();
-        List<Socket> asking = new ArrayList<>(resting);
-        // So many that they can't all be let in before an end that is due at once.
+        long terminatedNanos = terminateAndSuspend();
+        List<Socket> clients = new ArrayList<>(idle);
+        // Too many to be accepted all at once before an exit that is due.
         for (int i = 0; i < 400; i++) {
-            asking.add(connected());
+            clients.add(connect());
         }
-        Socket half = connected();
+        Socket incomplete = connect();
         String whole = Stand.envelope("half", "status", 1, 7900, "in two parts");
-        say(half, whole.substring(0, whole.length() - 5));
-        for (int i = 0; i < asking.size(); i++) {
-            say(asking.get(i), Stand.envelope("late" + i, "status", 1, 7900, "y".repeat(i % 2 * 3000)));
+        send(incomplete, whole.substring(0, whole.length() - 5));
+        for (int i = 0; i < clients.size(); i++) {
+            send(clients.get(i), Stand.envelope("late" + i, "status", 1, 7900, "y".repeat(i % 2 * 3000)));
         }
-        goOnAtItsEnd(asked);
-        for (int i = 0; i < asking.size(); i++) {
-            Stand.Answer answer = Stand.answer(asking.get(i));
+        resumeWhenExitIsDue(terminatedNanos);
+        for (int i = 0; i < clients.size(); i++) {
+            Stand.Answer answer = Stand.answer(clients.get(i));
             assertEquals(answer.status(), 503, "connection " + i);
             assertEquals(answer.headers().get("connection"), "close");
         }
-        say(half, whole.substring(whole.length() - 5));
-        assertEquals(Stand.answer(half).status(), 503);
-        endsInTime();
+        send(incomplete, whole.substring(whole.length() - 5));
+        assertEquals(Stand.answer(incomplete).status(), 503);
+        assertExitsInTime();
     }
 
+    /**
+     * Guards against a reset or an unsolicited response on an idle connection: the relay must close it,
+     * before the process ends, while a call is still in progress.
+     */
     @Test
-    public void whatRestsIsClosedInOrderBeforeTheRelayGoes() throws Exception {
-        stand.endpoint(1, got -> SILENCE);
+    public void idleConnectionsAreClosedCleanlyBeforeExit() throws Exception {
+        stand.endpoint(1, request -> SILENCE);
         stand.start();
-        Socket resting = connected();
-        assertEquals(Stand.ask(resting, Stand.envelope("out", "order", 1, 9000, "x")).status(), 202);
-        until("its call is out", 2000, () -> stand.figure("calls_out") == 1);
+        Socket idle = connect();
+        assertEquals(Stand.ask(idle, Stand.envelope("out", "order", 1, 9000, "x")).status(), 202);
+        until("the call is in progress", 2000, () -> stand.figure("calls_out") == 1);
         stand.process.destroy();
-        assertEquals(resting.getInputStream().read(), -1, "a reset, or a word that nobody asked for");
-        assertTrue(stand.process.isAlive(), "it is closed with the process, not by the relay's will");
+        assertEquals(idle.getInputStream().read(), -1, "unsolicited bytes on the idle connection");
+        assertTrue(stand.process.isAlive(), "the connection was closed by the end of the process");
         assertEquals(stand.ask(Stand.envelope("again", "status", 1, 7900, "x")).status(), 503,
-            "who comes again is told");
-        endsInTime();
+            "a new request is refused");
+        assertExitsInTime();
     }
 
+    /**
+     * Guards against a shutdown that a client delays without limit: one never reads its responses, one never
+     * completes its request, one sends invalid bytes.
+     */
     @Test
-    public void thoseThatNeverReadOrNeverEndTheirRequestHoldItNoLongerThanItsBound() throws Exception {
+    public void clientsThatNeverFinishDelayTheExitOnlyUpToTheLimit() throws Exception {
         stand.operator = "[closing]\nleast = \"2 s\"\n";
-        stand.endpoint(1, got -> OK);
+        stand.endpoint(1, request -> OK);
         stand.start();
-        Socket deaf = connected();
-        deaf.setSoTimeout(100);
-        AtomicBoolean full = new AtomicBoolean();
-        Thread asks = new Thread(() -> {
+        Socket notReading = connect();
+        notReading.setSoTimeout(100);
+        AtomicBoolean isBlocked = new AtomicBoolean();
+        Thread sender = new Thread(() -> {
             try {
-                OutputStream out = deaf.getOutputStream();
-                byte[] asked = "GET /stats HTTP/1.1\r\n\r\n".repeat(400)
+                OutputStream out = notReading.getOutputStream();
+                byte[] requests = "GET /stats HTTP/1.1\r\n\r\n".repeat(400)
                     .getBytes(StandardCharsets.ISO_8859_1);
                 for (int i = 0; i < 200; i++) {
-                    out.write(asked);
-                    full.set(i >= 20);
+                    out.write(requests);
+                    isBlocked.set(i >= 20);
                 }
             } catch (IOException over) {
-                full.set(true);
+                isBlocked.set(true);
             }
         });
-        asks.setDaemon(true);
-        asks.start();
-        until("much is owed to it", 5000, full::get);
-        Socket half = connected();
-        say(half, "POST /status HTTP/1.1\r\nContent-Le");
-        Socket garbage = connected();
-        say(garbage, "\0\1\2 garbage\r\n\r\n");
-        Socket good = connected();
+        sender.setDaemon(true);
+        sender.start();
+        until("many responses are pending for it", 5000, isBlocked::get);
+        Socket incomplete = connect();
+        send(incomplete, "POST /status HTTP/1.1\r\nContent-Le");
+        Socket invalid = connect();
+        send(invalid, "\0\1\2 garbage\r\n\r\n");
+        Socket valid = connect();
         stand.process.destroy();
-        until("it closes", 2000, () -> stand.hasLogged("relay.closing"));
-        assertEquals(Stand.ask(good, Stand.envelope("good", "status", 1, 7900, "x")).status(), 503);
-        endsInTime();
+        until("the shutdown begins", 2000, () -> stand.hasLogged("relay.closing"));
+        assertEquals(Stand.ask(valid, Stand.envelope("good", "status", 1, 7900, "x")).status(), 503);
+        assertExitsInTime();
     }
 
-    /** Its time is up when shots no longer begin: it is owed its end all the same, and no later life is sure to come. */
+    /**
+     * Guards against a message without an outcome whose deadline passes during the shutdown, when no attempt
+     * may start any more. The platform must be notified at once, since no later process is certain to run.
+     */
     @Test
-    public void whatRunsOutWhileTheRelayClosesHasItsEnd() throws Exception {
-        stand.endpoint(1, got -> SILENCE);
+    public void messageThatExpiresDuringShutdownHasItsOutcome() throws Exception {
+        stand.endpoint(1, request -> SILENCE);
         stand.closed(2);
         stand.start();
         assertEquals(stand.handIn("out", "order", 1, 9000), 202);
-        until("its call is out", 2000, () -> stand.figure("calls_out") == 1);
+        until("the call is in progress", 2000, () -> stand.figure("calls_out") == 1);
         assertEquals(stand.handIn("held", "status", 2, 2600), 202);
         stand.process.destroy();
-        until("the platform is told", 3300, () -> stand.ended("held", "handed_back"));
-        endsInTime();
+        until("the platform is notified", 3300, () -> stand.ended("held", "handed_back"));
+        assertExitsInTime();
     }
 
+    /**
+     * Guards against accepted messages that are lost, and connections without a response, when SIGTERM
+     * arrives during the start. The relay is started and terminated again and again, with a growing delay,
+     * while a client submits messages.
+     */
     @Test
-    public void askedToEndAtAnyMomentOfAStartNothingTakenIsLost() throws Exception {
-        Stand.Server endpoint = stand.endpoint(1, got -> OK);
-        Set<String> taken = ConcurrentHashMap.newKeySet();
-        AtomicBoolean on = new AtomicBoolean(true);
+    public void terminationAtAnyMomentOfAStartLosesNoAcceptedMessage() throws Exception {
+        Stand.Server endpoint = stand.endpoint(1, request -> OK);
+        Set<String> accepted = ConcurrentHashMap.newKeySet();
+        AtomicBoolean running = new AtomicBoolean(true);
         Thread client = new Thread(() -> {
-            for (int i = 0; on.get(); i++) {
+            for (int i = 0; running.get(); i++) {
                 String id = "s" + i;
                 try (Socket socket = new Socket(Stand.RELAY, stand.port)) {
                     socket.setSoTimeout(5_000);
                     if (Stand.ask(socket, Stand.envelope(id, "status", 1, 30_000, "x")).status() == 202) {
-                        taken.add(id);
+                        accepted.add(id);
                     }
-                } catch (SocketTimeoutException silent) {
-                    taken.add(id + " was left without a word");
+                } catch (SocketTimeoutException timeout) {
+                    accepted.add(id + " got no response");
                 } catch (IOException down) {
                     Stand.pause(1);
                 }
             }
         });
         client.start();
-        for (int after = 40; after < 900; after += 70) {
+        for (int delayMillis = 40; delayMillis < 900; delayMillis += 70) {
             stand.launch();
-            stand.process.waitFor(after, TimeUnit.MILLISECONDS);
+            stand.process.waitFor(delayMillis, TimeUnit.MILLISECONDS);
             stand.process.destroy();
-            assertTrue(stand.process.waitFor(4, TimeUnit.SECONDS), "asked to end after " + after + " ms");
+            assertTrue(stand.process.waitFor(4, TimeUnit.SECONDS),
+                "not terminated; SIGTERM was sent after " + delayMillis + " ms");
         }
-        on.set(false);
+        running.set(false);
         client.join();
         stand.start();
-        until("each that was taken on is delivered", 8000,
-            () -> taken.stream().allMatch(id -> endpoint.got.stream().anyMatch(g -> id.equals(g.id()))));
+        until("each accepted message is delivered", 8000,
+            () -> accepted.stream()
+                .allMatch(id -> endpoint.got.stream().anyMatch(call -> id.equals(call.id()))));
     }
 }
--- a/relay/src/test/java/yewpath/IntakeTest.java
+++ b/relay/src/test/java/yewpath/IntakeTest.java
@@ -17,7 +17,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What clients may do at the door, and what they are answered. */
+/**
+ * Requests of clients, valid and invalid, complete and incomplete, and the responses that the relay gives.
+ */
 public final class IntakeTest {
     private static final String FIELDS = "Request-Id: x1\r\nRequest-Timeout: 800m\r\nX-Addressing: dest=1\r\n";
     private Stand stand;
@@ -27,7 +29,7 @@
     public void start() throws Exception {
         stand = new Stand();
         stand.operator = "[clients]\nconnections = 4\nrequest_within = \"700 ms\"\nidle_for = \"1 min\"\n";
-        endpoint = stand.endpoint(1, got -> OK);
+        endpoint = stand.endpoint(1, request -> OK);
         stand.start();
     }
 
@@ -37,7 +39,7 @@
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] malformedRequests() {
         String post = "POST /status HTTP/1.1\r\n" + FIELDS;
         return new Object[][]{
             {"both length headers", 400, post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"},
@@ -46,32 +48,40 @@
             {"a signed length", 400, post + "Content-Length: +3\r\n\r\nabc"},
             {"an unknown coding", 400, post + "Transfer-Encoding: gzip, chunked\r\n\r\n"},
             {"a bad chunk size", 400, post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"},
-            {"a chunk longer than told", 400,
+            {"a chunk longer than its size", 400,
                 post + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n"},
             {"a space before the colon", 400, post + "Content-Length : 3\r\n\r\nabc"},
             {"a folded header", 400, post + "X-A: b\r\n c\r\n\r\n"},
             {"a bare line feed", 400, "POST /status HTTP/1.1\n\n"},
             {"no request line", 400, "hello\r\n\r\n"},
             {"another version", 400, "POST /status HTTP/2.0\r\n\r\n"},
-            {"a body too long", 413, post + "Content-Length: 65537\r\n\r\n"},
-            {"chunks too long", 413, post + "Transfer-Encoding: chunked\r\n\r\nffff\r\n" + "x".repeat(65535)
-                + "\r\n2\r\nxx\r\n0\r\n\r\n"},
-            {"a head too long", 431, post + "X-A: " + "y".repeat(9000) + "\r\n\r\n"},
-            {"a head without end", 431, post + "X-A: " + "y".repeat(9000)},
+            {"a body that is too long", 413, post + "Content-Length: 65537\r\n\r\n"},
+            {"chunks that are too long together", 413,
+                post + "Transfer-Encoding: chunked\r\n\r\nffff\r\n" + "x".repeat(65535)
+                    + "\r\n2\r\nxx\r\n0\r\n\r\n"},
+            {"a head that is too long", 431, post + "X-A: " + "y".repeat(9000) + "\r\n\r\n"},
+            {"a head that is too long and incomplete", 431, post + "X-A: " + "y".repeat(9000)},
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void refusesAndCloses(String what, int status, String request) throws Exception {
+    /**
+     * Guards against request smuggling and unbounded requests. Where the length of a request is unclear or
+     * too large, the following bytes can't be read as a new request, so the relay must respond, close the
+     * connection and send nothing to the endpoint.
+     */
+    @Test(dataProvider = "malformedRequests")
+    public void malformedRequestIsRefusedAndTheConnectionClosed(String description, int status,
+        String request) throws Exception {
         try (Socket socket = stand.connect()) {
-            assertEquals(Stand.ask(socket, request).status(), status, what);
-            assertTrue(Stand.closes(socket, 2000), what + ": stays open");
+            assertEquals(Stand.ask(socket, request).status(), status, description);
+            assertTrue(Stand.closes(socket, 2000), description + ": the connection stays open");
         }
-        assertTrue(endpoint.got.stream().noneMatch(g -> "x1".equals(g.id())), what + ": was sent on");
+        assertTrue(endpoint.got.stream().noneMatch(call -> "x1".equals(call.id())),
+            description + ": was sent to the endpoint");
     }
 
     @DataProvider
-    public Object[][] unfit() {
+    public Object[][] unacceptableRequests() {
         return new Object[][]{
             {404, "POST /elsewhere HTTP/1.1\r\n" + FIELDS + "\r\n"},
             {404, "GET / HTTP/1.1\r\n\r\n"},
@@ -88,54 +98,71 @@
         };
     }
 
-    @Test(dataProvider = "unfit")
-    public void refusesAndReadsOn(int status, String request) throws Exception {
+    /**
+     * Guards against a connection that is closed or misread after a well-formed request that the relay can't
+     * accept: the next request on it must still be answered.
+     */
+    @Test(dataProvider = "unacceptableRequests")
+    public void unacceptableRequestIsRefusedAndTheConnectionKept(int status, String request)
+        throws Exception {
         try (Socket socket = stand.connect()) {
             assertEquals(Stand.ask(socket, request).status(), status);
             assertEquals(Stand.ask(socket, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
         }
     }
 
-    /** A list may only be late: who asks for what it does not name yet is told when to come again, not that it failed. */
+    /**
+     * Guards against a final failure for a destination that is not listed yet. Since the list may only be
+     * late, the client must be told when to retry.
+     */
     @Test
-    public void whatIsNotListedYetIsRefusedUntilItIs() throws Exception {
+    public void unlistedDestinationIsRefusedWithARetryTimeUntilItIsListed() throws Exception {
         try (Socket socket = stand.connect()) {
             Stand.Answer early = Stand.ask(socket, Stand.envelope("u1", "status", 9, 800, "x"));
             assertEquals(early.status(), 503);
             assertEquals(early.headers().get("retry-after"), "1.000");
             assertEquals(stand.figure("open"), 0);
             stand.tell(false, stand.entry("late", endpoint.address(), 9, "plain", "up"));
-            Stand.until("it is taken on once the list names it", 3000,
+            Stand.until("the message is accepted once its destination is listed", 3000,
                 () -> Stand.ask(socket, Stand.envelope("u2", "status", 9, 7900, "x")).status() == 202);
         }
-        Stand.until("delivered", 2000, () -> endpoint.got.stream().anyMatch(g -> "u2".equals(g.id())));
+        Stand.until("the message is delivered", 2000,
+            () -> endpoint.got.stream().anyMatch(call -> "u2".equals(call.id())));
     }
 
+    /**
+     * Guards against a parser that fails when a request arrives byte by byte, or that counts chunk
+     * extensions and trailers as parts of the body.
+     */
     @Test
-    public void takesAnEnvelopeByteByByteAndInChunks() throws Exception {
+    public void acceptsAMessageThatArrivesByteByByteInChunks() throws Exception {
         String chunked = "POST /status HTTP/1.1\r\nRequest-Id: c1\r\nRequest-Timeout: 800000.5u\r\nX-Addressing: dest=1\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-T: v\r\n\r\n";
         try (Socket socket = stand.connect()) {
             socket.setTcpNoDelay(true);
             OutputStream out = socket.getOutputStream();
-            for (byte b : chunked.getBytes(StandardCharsets.ISO_8859_1)) {
-                out.write(b);
+            for (byte requestByte : chunked.getBytes(StandardCharsets.ISO_8859_1)) {
+                out.write(requestByte);
             }
             assertEquals(Stand.answer(socket).status(), 202);
         }
-        Stand.until("delivered whole", 2000, () -> endpoint.got.stream()
-            .anyMatch(g -> "c1".equals(g.id()) && g.body.equals("abcde")));
+        Stand.until("the complete message is delivered", 2000, () -> endpoint.got.stream()
+            .anyMatch(call -> "c1".equals(call.id()) && call.body.equals("abcde")));
     }
 
+    /**
+     * Guards against responses that are lost or out of order when a client pipelines requests that exceed
+     * the relay's buffers.
+     */
     @Test
-    public void answersRequestsSentAheadInTheirOrder() throws Exception {
-        StringBuilder ahead = new StringBuilder();
+    public void answersPipelinedRequestsInOrder() throws Exception {
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 8; i++) {
-            ahead.append(Stand.envelope("p" + i, "status", 1, 5000, "b".repeat(60_000)));
-            ahead.append("GET /nowhere HTTP/1.1\r\n\r\n");
+            pipelined.append(Stand.envelope("p" + i, "status", 1, 5000, "b".repeat(60_000)));
+            pipelined.append("GET /nowhere HTTP/1.1\r\n\r\n");
         }
         try (Socket socket = stand.connect()) {
-            socket.getOutputStream().write(ahead.toString().getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream().write(pipelined.toString().getBytes(StandardCharsets.ISO_8859_1));
             for (int i = 0; i < 8; i++) {
                 assertEquals(Stand.answer(socket).status(), 202);
                 assertEquals(Stand.answer(socket).status(), 404);
@@ -143,11 +170,15 @@
         }
     }
 
+    /**
+     * Guards against a request that never completes because its encoding in very small chunks is longer than
+     * the buffer, although its body is not. Suspending the relay makes all bytes available at once.
+     */
     @Test
-    public void readsARequestLongerOnTheWireThanItsRing() throws Exception {
-        String small = "1\r\nx\r\n".repeat(30_000) + "0\r\n\r\n";
+    public void readsARequestThatIsLongerThanTheBufferOnTheWire() throws Exception {
+        String smallChunks = "1\r\nx\r\n".repeat(30_000) + "0\r\n\r\n";
         String chunked = "POST /status HTTP/1.1\r\nRequest-Id: f2\r\nRequest-Timeout: 5000m\r\nX-Addressing: dest=1\r\n"
-            + "Transfer-Encoding: chunked\r\n\r\n" + small;
+            + "Transfer-Encoding: chunked\r\n\r\n" + smallChunks;
         stand.signal("STOP");
         try (Socket socket = stand.connect()) {
             socket.getOutputStream().write((Stand.envelope("f1", "status", 1, 5000, "x") + chunked)
@@ -158,8 +189,9 @@
         }
     }
 
+    /** Guards against a deadlock with a client that sends its body only after the response 100 Continue. */
     @Test
-    public void asksForTheBodyOfAClientThatWaitsToBeAsked() throws Exception {
+    public void requestsTheBodyOfAClientThatExpectsContinue() throws Exception {
         try (Socket socket = stand.connect()) {
             String head = "POST /status HTTP/1.1\r\n" + FIELDS.replace("x1", "w1")
                 + "Expect: 100-continue\r\n"
@@ -169,17 +201,22 @@
         }
     }
 
+    /** Guards against a connection that is occupied without limit by an incomplete request. */
     @Test
-    public void endsARequestThatDoesNotCome() throws Exception {
+    public void incompleteRequestTimesOut() throws Exception {
         try (Socket socket = stand.connect()) {
             assertEquals(Stand.ask(socket, "POST /status HTTP/1.1\r\nRequest-Id: s").status(), 408);
             assertTrue(Stand.closes(socket, 2000));
         }
     }
 
+    /**
+     * Guards against sending a message whose client closed its connection before the relay read the request.
+     * That client gets no response, and will submit the message again.
+     */
     @Test
-    public void aClientThatLeftHasNothingSentForIt() throws Exception {
-        // Stopped meanwhile, the relay finds the request and the connection's end at once.
+    public void messageOfAClientThatHasGoneIsNotSent() throws Exception {
+        // The relay is suspended, so that it finds the request and the end of the connection at once.
         stand.signal("STOP");
         try (Socket socket = stand.connect()) {
             socket.getOutputStream().write(Stand.envelope("l1", "order", 1, 5000, "x")
@@ -187,25 +224,26 @@
         }
         stand.signal("CONT");
         assertEquals(stand.handIn("l2", "order", 1, 5000), 202);
-        Stand.until("the next is delivered", 2000,
-            () -> endpoint.got.stream().anyMatch(g -> "l2".equals(g.id())));
+        Stand.until("the next message is delivered", 2000,
+            () -> endpoint.got.stream().anyMatch(call -> "l2".equals(call.id())));
         Thread.sleep(200);
-        assertTrue(endpoint.got.stream().noneMatch(g -> "l1".equals(g.id())),
-            "sent for a client that had left");
+        assertTrue(endpoint.got.stream().noneMatch(call -> "l1".equals(call.id())),
+            "sent although its client had gone");
     }
 
+    /** Guards against memory exhaustion by clients that each send most of a large body and then wait. */
     @Test
-    public void unfinishedBodiesOnManyConnectionsDoNotUseUpItsMemory() throws Exception {
+    public void incompleteBodiesOnManyConnectionsDoNotExhaustMemory() throws Exception {
         List<Socket> sockets = new ArrayList<>();
-        byte[] unfinished = Stand.envelope("h", "status", 1, 5000, "h".repeat(65_000)).substring(0, 62_000)
+        byte[] incomplete = Stand.envelope("h", "status", 1, 5000, "h".repeat(65_000)).substring(0, 62_000)
             .getBytes(StandardCharsets.ISO_8859_1);
         try (Stand crowded = new Stand()) {
-            crowded.endpoint(1, got -> OK);
+            crowded.endpoint(1, request -> OK);
             crowded.start();
             for (int i = 0; i < 620; i++) {
                 sockets.add(crowded.connect());
                 try {
-                    sockets.get(i).getOutputStream().write(unfinished);
+                    sockets.get(i).getOutputStream().write(incomplete);
                 } catch (IOException closedMeanwhile) {
                     continue;
                 }
@@ -219,53 +257,62 @@
         }
     }
 
+    /**
+     * Guards against connections that are occupied by clients that send nothing, or start a request late and
+     * never complete it. A connection that has had a request stays open.
+     */
     @Test
-    public void silentAndSlowClientsAreEndedWithinThreeSecondsOfConnecting() throws Exception {
-        try (Stand usual = new Stand()) {
-            usual.endpoint(1, got -> OK);
-            usual.start();
-            long start = System.nanoTime();
-            try (Socket silent = usual.connect();
-                Socket late = usual.connect();
-                Socket kept = usual.connect()) {
+    public void silentAndSlowClientsAreDisconnectedWithinThreeSeconds() throws Exception {
+        try (Stand server = new Stand()) {
+            server.endpoint(1, request -> OK);
+            server.start();
+            long startNanos = System.nanoTime();
+            try (Socket silent = server.connect();
+                Socket late = server.connect();
+                Socket kept = server.connect()) {
                 assertEquals(Stand.ask(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
                 Stand.pause(1500);
                 late.getOutputStream()
                     .write("POST /status HTTP/1.1\r\nRequest-Id".getBytes(StandardCharsets.ISO_8859_1));
-                assertTrue(Stand.closes(silent, 1400), "silent, and still open");
-                assertTrue(System.nanoTime() - start > 2_000_000_000L, "closed before its 2 s were over");
+                assertTrue(Stand.closes(silent, 1400), "the silent connection is still open");
+                assertTrue(System.nanoTime() - startNanos > 2_000_000_000L,
+                    "the silent connection was closed before 2 s had passed");
                 assertEquals(Stand.answer(late).status(), 408);
-                assertTrue(System.nanoTime() - start < 3_000_000_000L, "told too late");
+                assertTrue(System.nanoTime() - startNanos < 3_000_000_000L, "the response 408 came too late");
                 assertEquals(Stand.ask(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
             }
         }
     }
 
-    /** Held still, the relay finds far more connections than it has room for, each with a request that it has not read. */
+    /**
+     * Guards against connections that are evicted although their request has arrived. The suspended relay
+     * finds far more connections than its limit at once, each with a request that it has not read.
+     */
     @Test
-    public void whoHasAskedIsNotClosedForWantOfRoom() throws Exception {
-        List<Socket> rush = new ArrayList<>();
-        try (Stand full = new Stand()) {
-            full.operator = "[clients]\nconnections = 4\n";
-            full.endpoint(1, got -> OK);
-            full.start();
-            full.signal("STOP");
+    public void connectionsWithARequestAreNotEvicted() throws Exception {
+        List<Socket> clients = new ArrayList<>();
+        try (Stand crowded = new Stand()) {
+            crowded.operator = "[clients]\nconnections = 4\n";
+            crowded.endpoint(1, request -> OK);
+            crowded.start();
+            crowded.signal("STOP");
             for (int i = 0; i < 300; i++) {
-                rush.add(full.connect());
-                rush.get(i).getOutputStream().write(Stand.envelope("rush" + i, "status", 1, 7900, "x")
+                clients.add(crowded.connect());
+                clients.get(i).getOutputStream().write(Stand.envelope("rush" + i, "status", 1, 7900, "x")
                     .getBytes(StandardCharsets.ISO_8859_1));
             }
-            full.signal("CONT");
-            for (int i = 0; i < rush.size(); i++) {
-                int status = Stand.answer(rush.get(i)).status();
+            crowded.signal("CONT");
+            for (int i = 0; i < clients.size(); i++) {
+                int status = Stand.answer(clients.get(i)).status();
                 assertTrue(status == 202 || status == 503, "connection " + i + ": " + status);
-                rush.get(i).close();
+                clients.get(i).close();
             }
         }
     }
 
+    /** Guards against active connections that are evicted in favour of new ones that never send a request. */
     @Test
-    public void silentConnectionsDoNotTakeTheRoomOfThoseThatAsk() throws Exception {
+    public void silentConnectionsDoNotDisplaceActiveOnes() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try (Socket kept = stand.connect()) {
             assertEquals(Stand.ask(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
@@ -282,49 +329,58 @@
         }
     }
 
+    /**
+     * Guards against a burst of connections that uses up the file descriptors, so that calls, notices and
+     * the discovery connection can't be opened.
+     */
     @Test
-    public void aRushOfConnectsLeavesDescriptorsForAllElse() throws Exception {
-        List<Socket> rush = new ArrayList<>();
+    public void burstOfConnectionsLeavesDescriptorsForCalls() throws Exception {
+        List<Socket> clients = new ArrayList<>();
         try (Stand crowded = new Stand()) {
             crowded.limits = ",\"sockets\":128";
             crowded.descriptors = 128;
-            Stand.Server up = crowded.endpoint(1, got -> OK);
+            Stand.Server healthyEndpoint = crowded.endpoint(1, request -> OK);
             crowded.start();
             crowded.signal("STOP");
             for (int i = 0; i < 400; i++) {
-                rush.add(crowded.connect());
+                clients.add(crowded.connect());
             }
             crowded.signal("CONT");
             assertEquals(crowded.handIn("after", "status", 1, 5000), 202);
-            Stand.until("delivered", 2000, () -> up.got.size() == 1);
+            Stand.until("the message is delivered", 2000, () -> healthyEndpoint.got.size() == 1);
             assertFalse(Files.readString(crowded.folder.resolve("log")).contains("Too many open files"));
         } finally {
-            for (Socket socket : rush) {
+            for (Socket socket : clients) {
                 socket.close();
             }
         }
     }
 
+    /** Guards against a relay that reads without limit what a refused client keeps sending. */
     @Test
-    public void doesNotReadAllThatARefusedClientGoesOnSending() throws Exception {
-        byte[] much = new byte[1 << 20];
-        int sent = 0;
+    public void readsOnlyALimitedAmountAfterARefusal() throws Exception {
+        byte[] megabyte = new byte[1 << 20];
+        int sentMegabytes = 0;
         try (Socket socket = stand.connect()) {
             assertEquals(
                 Stand.ask(socket, "POST /status HTTP/1.1\r\n" + FIELDS + "Content-Length: 60000000\r\n\r\n")
                     .status(),
                 413);
-            for (; sent < 60; sent++) {
-                socket.getOutputStream().write(much);
+            for (; sentMegabytes < 60; sentMegabytes++) {
+                socket.getOutputStream().write(megabyte);
             }
         } catch (IOException closed) {
-            assertTrue(sent < 30, sent + " MB were read");
+            assertTrue(sentMegabytes < 30, sentMegabytes + " MB were read");
         }
-        assertTrue(sent < 60, "all was read");
+        assertTrue(sentMegabytes < 60, "everything was read");
     }
 
+    /**
+     * Guards against a relay that exceeds its limit of connections, or reaches it and refuses new clients
+     * instead of evicting idle ones.
+     */
     @Test
-    public void boundsItsConnectionsAndStillAnswersTheNewest() throws Exception {
+    public void evictsIdleConnectionsInFavourOfNewOnes() throws Exception {
         List<Socket> sockets = new ArrayList<>();
         try {
             for (int i = 0; i < 9; i++) {
@@ -335,7 +391,7 @@
             for (Socket socket : sockets) {
                 open += Stand.closes(socket, 100) ? 0 : 1;
             }
-            assertTrue(open <= 4, open + " of 9 stayed open");
+            assertTrue(open <= 4, open + " of 9 connections stayed open");
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
--- a/relay/src/test/java/yewpath/StateFolderTest.java
+++ b/relay/src/test/java/yewpath/StateFolderTest.java
@@ -21,61 +21,74 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The folder that outlives the process cannot be written, holds what it should not, or is another all at once. */
+/**
+ * Failures of the state folder, which outlives the process: it can't be written or read, contains unexpected
+ * files, or is replaced.
+ */
 public final class StateFolderTest extends Stand.Tests {
     private static final String REFUSED = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
 
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] writeFaults() {
         return new Object[][]{{"write=" + EIO, ""}, {"write=" + ENOSPC, "partial=1"},
             {"write=" + EIO, "open=" + EIO}, {"write=" + ENOSPC, "rename=" + EIO}};
     }
 
-    @Test(dataProvider = "faults")
-    public void writesThatFailForAWhileEndNoProcessAndLoseNothing(String fault, String more)
+    /**
+     * Guards against a relay that exits, accepts messages it can't record, or loses or repeats messages,
+     * when writes to its folder fail for a while. Some faults also leave a partial record, or make a new
+     * file impossible.
+     */
+    @Test(dataProvider = "writeFaults")
+    public void temporaryWriteFailuresLoseNoMessageAndEndNoProcess(String fault, String furtherFault)
         throws Exception {
         FaultShim shim = new FaultShim(stand);
-        Set<String> ran = ConcurrentHashMap.newKeySet();
-        Stand.Server endpoint = stand.endpoint(1, got -> {
-            ran.add(got.id());
+        Set<String> delivered = ConcurrentHashMap.newKeySet();
+        Stand.Server endpoint = stand.endpoint(1, request -> {
+            delivered.add(request.id());
             return OK;
         });
         stand.closed(2);
         stand.start();
-        Set<String> taken = ConcurrentHashMap.newKeySet();
+        Set<String> accepted = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 5; i++) {
             assertEquals(stand.handIn("before" + i, "order", 2, 15_000), 202);
-            taken.add("before" + i);
+            accepted.add("before" + i);
         }
-        shim.fail(fault, more);
-        int refused = handInSome("during", 40, taken);
-        assertTrue(stand.process.isAlive(), "it ended: " + stand.log());
-        assertTrue(refused >= 35, "taken on though nothing can be written: " + (40 - refused));
+        shim.fail(fault, furtherFault);
+        int refused = submitSeveral("during", 40, accepted);
+        assertTrue(stand.process.isAlive(), "the relay ended: " + stand.log());
+        assertTrue(refused >= 35, "messages accepted although no record can be written: " + (40 - refused));
         shim.heal();
-        until("it takes on again", 2_000, () -> stand.handIn("again", "order", 1, 15_000) == 202);
-        taken.add("again");
-        handInSome("after", 10, taken);
+        until("the relay accepts messages again", 2_000,
+            () -> stand.handIn("again", "order", 1, 15_000) == 202);
+        accepted.add("again");
+        submitSeveral("after", 10, accepted);
         stand.kill();
-        endpoint.got.forEach(got -> taken.add(got.id()));
-        Stand.Server second = stand.endpoint(2, got -> {
-            ran.add(got.id());
+        endpoint.got.forEach(request -> accepted.add(request.id()));
+        Stand.Server second = stand.endpoint(2, request -> {
+            delivered.add(request.id());
             return OK;
         });
         stand.start();
-        until("each that was taken on has its end", 8_000,
-            () -> taken.stream().allMatch(id -> ran.contains(id) || stand.ended(id, "outcome")));
+        until("each accepted message has its outcome", 8_000,
+            () -> accepted.stream().allMatch(id -> delivered.contains(id) || stand.ended(id, "outcome")));
         assertTrue(second.got.size() >= 5);
         List<String> calls = Stream.concat(endpoint.got.stream(), second.got.stream()).map(Stand.Got::id)
             .toList();
         assertEquals(calls.size(), Set.copyOf(calls).size(), "sent twice: " + calls);
-        assertTrue(taken.containsAll(calls), "sent though it was refused: " + calls);
+        assertTrue(accepted.containsAll(calls), "sent although its client was refused: " + calls);
     }
 
-    private int handInSome(String name, int count, Set<String> taken) throws IOException {
+    /**
+     * Submits messages one by one, adds the ids of the accepted ones to the set, and returns the number of
+     * refused ones.
+     */
+    private int submitSeveral(String name, int count, Set<String> accepted) throws IOException {
         int refused = 0;
         for (int i = 0; i < count; i++) {
             if (stand.handIn(name + i, "order", 1, 15_000) == 202) {
-                taken.add(name + i);
+                accepted.add(name + i);
             } else {
                 refused++;
             }
@@ -84,84 +97,102 @@
         return refused;
     }
 
+    /**
+     * Guards against an attempt that is sent before it is recorded: after a kill, the next process would
+     * send an at-most-once message again.
+     */
     @Test
-    public void anAttemptThatCannotBeWrittenDownDoesNotLeave() throws Exception {
+    public void attemptThatCannotBeRecordedIsNotSent() throws Exception {
         FaultShim shim = new FaultShim(stand);
-        Stand.Server endpoint = stand.endpoint(1, got -> REFUSED);
+        Stand.Server endpoint = stand.endpoint(1, request -> REFUSED);
         stand.start();
         assertEquals(stand.handIn("m1", "order", 1, 15_000), 202);
-        until("refused once", 3_000, () -> !endpoint.got.isEmpty());
+        until("the endpoint refused the first attempt", 3_000, () -> !endpoint.got.isEmpty());
         shim.fail("write=" + EIO);
-        endpoint.answer = got -> SILENCE;
+        endpoint.answer = request -> SILENCE;
         Stand.pause(600);
         int attempts = endpoint.got.size();
         Stand.pause(800);
         assertEquals(endpoint.got.size(), attempts);
         stand.kill();
         shim.heal();
-        endpoint.answer = got -> OK;
+        endpoint.answer = request -> OK;
         stand.start();
-        until("it has its end", 5_000,
+        until("the message has its outcome", 5_000,
             () -> endpoint.got.size() > attempts || stand.ended("m1", "given_up"));
     }
 
+    /** Guards against a notice that is delayed until the folder can be written again. */
     @Test
-    public void anEndIsToldInTimeThoughItCannotBeWrittenDown() throws Exception {
+    public void outcomeIsReportedInTimeAlthoughItCannotBeRecorded() throws Exception {
         FaultShim shim = new FaultShim(stand);
         stand.closed(1);
         stand.start();
         assertEquals(stand.handIn("m1", "order", 1, 1_000), 202);
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         shim.fail("write=" + EIO);
-        until("told", 2_000, () -> stand.ended("m1", "outcome"));
-        assertTrue(System.nanoTime() - from < 1_300_000_000L, "later than 0.3 s after its time");
+        until("the platform is notified", 2_000, () -> stand.ended("m1", "outcome"));
+        assertTrue(System.nanoTime() - startNanos < 1_300_000_000L, "the notice was more than 0.3 s late");
     }
 
     @DataProvider
-    public Object[][] faultsAtTheStart() {
+    public Object[][] startFaults() {
         return new Object[][]{{"write=" + EIO}, {"open=" + ENOSPC}, {"rename=" + EIO}, {"read=" + EIO}};
     }
 
-    @Test(dataProvider = "faultsAtTheStart")
-    public void aStartWithADiskThatFailsForAWhileSucceeds(String fault) throws Exception {
+    /**
+     * Guards against a process that ends, or drops what it holds, because its folder fails at the start. It
+     * has to wait until the folder can be used again.
+     */
+    @Test(dataProvider = "startFaults")
+    public void startWaitsWhileTheFolderFails(String fault) throws Exception {
         FaultShim shim = new FaultShim(stand);
         stand.closed(1);
         stand.start();
         assertEquals(stand.handIn("m1", "order", 1, 20_000), 202);
         stand.kill();
-        Stand.Server endpoint = stand.endpoint(1, got -> OK);
+        Stand.Server endpoint = stand.endpoint(1, request -> OK);
         shim.fail(fault);
         stand.launch();
         Stand.pause(2_500);
-        assertTrue(stand.process.isAlive(), "it ended with " + (stand.process.isAlive() ? "" : exitCode()));
+        assertTrue(stand.process.isAlive(),
+            "the relay ended with " + (stand.process.isAlive() ? "" : exitCode()));
         shim.heal();
-        until("it is ready", 3_000, stand::isReady);
-        until("what was held is delivered", 3_000, () -> endpoint.got.size() == 1);
+        until("the relay is ready", 3_000, stand::isReady);
+        until("the open message is delivered", 3_000, () -> endpoint.got.size() == 1);
     }
 
     private int exitCode() {
         return stand.process.exitValue();
     }
 
+    /**
+     * Guards against a start that fails on unexpected contents, such as another disk has: directories in
+     * place of the ledger's files, or a file that is no ledger. They count as empty.
+     */
     @Test
-    public void aDiskReplacedByOneWithOtherContentsIsTakenAsEmpty() throws Exception {
+    public void unexpectedContentsCountAsAnEmptyFolder() throws Exception {
         Path state = stand.folder.resolve("state");
         for (String name : List.of("ledger", "ledger.next")) {
             Files.createDirectories(state.resolve(name).resolve("lost+found"));
         }
-        Stand.Server endpoint = stand.endpoint(1, got -> OK);
+        Stand.Server endpoint = stand.endpoint(1, request -> OK);
         stand.start();
         assertEquals(stand.handIn("m1", "order", 1, 5_000), 202);
-        until("delivered", 2_000, () -> endpoint.got.size() == 1);
+        until("the message is delivered", 2_000, () -> endpoint.got.size() == 1);
         stand.kill();
         Files.write(state.resolve("ledger"), new byte[100_000]);
         stand.start();
         assertEquals(stand.handIn("m2", "order", 1, 5_000), 202);
-        until("delivered", 2_000, () -> endpoint.got.size() == 2);
+        until("the message is delivered", 2_000, () -> endpoint.got.size() == 2);
     }
 
+    /**
+     * Guards against messages that are lost at the next restart because the folder was replaced by an empty
+     * one under a running relay, which went on writing to the old file.
+     */
     @Test
-    public void aFolderReplacedUnderARunningRelayHoldsAllAgain() throws Exception {
+    public void replacedFolderReceivesAllOpenMessages() throws Exception {
         stand.closed(1);
         stand.start();
         assertEquals(stand.handIn("m1", "order", 1, 15_000), 202);
@@ -171,24 +202,28 @@
         Stand.pause(500);
         assertEquals(stand.handIn("m2", "order", 1, 15_000), 202);
         stand.kill();
-        Stand.Server endpoint = stand.endpoint(1, got -> OK);
+        Stand.Server endpoint = stand.endpoint(1, request -> OK);
         stand.start();
-        until("both are delivered", 4_000, () -> endpoint.got.size() == 2);
+        until("both messages are delivered", 4_000, () -> endpoint.got.size() == 2);
     }
 
+    /** Guards against a stack trace or an endless wait where the configured folder is a file. */
     @Test
-    public void aFolderThatIsAFileEndsTheStartWithOneLine() throws Exception {
+    public void fileInPlaceOfTheFolderEndsTheStartWithOneLine() throws Exception {
         Files.writeString(stand.folder.resolve("state"), "no folder");
         stand.closed(1);
         stand.launch();
-        assertTrue(stand.process.waitFor(10, TimeUnit.SECONDS), "it goes on");
+        assertTrue(stand.process.waitFor(10, TimeUnit.SECONDS), "the relay still runs");
         assertEquals(stand.process.exitValue(), 2);
         assertEquals(stand.log().stream().filter(line -> line.contains("state")).count(), 1,
             "" + stand.log());
     }
 
+    /**
+     * Guards against a relay that runs out of direct memory when it writes or reads its ledger as a whole.
+     */
     @Test
-    public void aLogLargerThanTheDirectMemoryIsWrittenAndReadBack() throws Exception {
+    public void ledgerLargerThanTheDirectMemoryIsWrittenAndReadBack() throws Exception {
         stand.limits = ",\"disk_mb\":64";
         stand.holdMost = 400;
         stand.flags = List.of("-XX:MaxDirectMemorySize=4m");
