--- a/relay/src/test/java/yewpath/FaultSoakTest.java
+++ b/relay/src/test/java/yewpath/FaultSoakTest.java
@@ -20,31 +20,32 @@
 import org.testng.annotations.Test;
 
 /**
- * Copies of answers, a folder that fails, kills, shutdowns, stops and steps of the wall clock, all drawn from a seed while
- * clients hand in messages. The scheduler adds to it: a seed plays the same plan, not the same interleaving.
+ * Plays a mix of faults drawn from a seed while clients submit messages: duplicate responses, failures of
+ * the state folder, kills, shutdowns, suspensions and steps of the wall clock. A seed repeats the plan of
+ * faults, but not the exact timing, which depends on the scheduler.
  */
 public final class FaultSoakTest extends Stand.Tests {
-    private static final int CLIENTS = 4;
-    private static final int WITHIN_MS = 3_000;
-    private static final long PLAY_NANOS = TimeUnit.SECONDS.toNanos(8);
-    private static final long END_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
-    private static final long RESTART_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(2_100);
-    private static final long HOUR = 3_600;
+    private static final int CLIENT_COUNT = 4;
+    private static final int TIMEOUT_MILLIS = 3_000;
+    private static final long FAULT_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(8);
+    private static final long OUTCOME_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+    private static final long RESTART_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_100);
+    private static final long HOUR_SECONDS = 3_600;
     private static final Pattern NOTICE = Pattern
         .compile("\"message\":\"([^\"]+)\",\"outcome\":\"([^\"]+)\"");
     private static final String[][] DISK_FAULTS = {{"write=5"}, {"write=28", "partial=1"}, {"open=28"},
         {"write=5", "rename=5"}, {"write=5", "truncate=5", "partial=1"}};
 
-    private final Map<String, Long> deadlines = new ConcurrentHashMap<>();
-    private final Map<String, Long> ends = new ConcurrentHashMap<>();
-    private final AtomicInteger messages = new AtomicInteger();
+    private final Map<String, Long> deadlineNanosById = new ConcurrentHashMap<>();
+    private final Map<String, Long> outcomeNanosById = new ConcurrentHashMap<>();
+    private final AtomicInteger messageCount = new AtomicInteger();
     private MessageRules rules;
     private Random random;
     private FaultShim shim;
-    private volatile boolean playing;
-    private volatile long readyAt;
+    private volatile boolean clientsRunning;
+    private volatile long readyNanos;
 
-    /** As many as {@code -Dsoak.seeds} asks for, from {@code -Dsoak.first} on. */
+    /** {@code -Dsoak.seeds} seeds from {@code -Dsoak.first} on. */
     @DataProvider
     public Object[][] seeds() {
         long first = Long.getLong("soak.first", 1);
@@ -53,42 +54,48 @@
             .toArray(Object[][]::new);
     }
 
+    /**
+     * Guards against faults that violate a delivery rule only in combination: each accepted message must
+     * have one outcome in time, and no at-most-once message may be executed twice.
+     */
     @Test(dataProvider = "seeds")
-    public void mixedFaultsBreakNoRule(long seed) throws Exception {
+    public void mixedFaultsViolateNoRule(long seed) throws Exception {
         prepare(seed);
         stand.start();
-        readyAt = System.nanoTime();
+        readyNanos = System.nanoTime();
         List<Thread> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             Random choices = new Random(random.nextLong());
-            clients.add(new Thread(() -> handIn(choices)));
+            clients.add(new Thread(() -> submitUntilStopped(choices)));
         }
         clients.forEach(Thread::start);
-        long until = System.nanoTime() + PLAY_NANOS;
-        while (System.nanoTime() < until) {
+        long endNanos = System.nanoTime() + FAULT_PERIOD_NANOS;
+        while (System.nanoTime() < endNanos) {
             Stand.pause(100 + random.nextInt(600));
             playFault();
         }
-        playing = false;
+        clientsRunning = false;
         for (Thread client : clients) {
             client.join();
         }
         shim.heal();
-        until("each message has its end", 12_000, () -> ends.keySet().containsAll(deadlines.keySet()));
-        deadlines.forEach(this::checkEnd);
+        until("each accepted message has its outcome", 12_000,
+            () -> outcomeNanosById.keySet().containsAll(deadlineNanosById.keySet()));
+        deadlineNanosById.forEach(this::checkOutcomeInTime);
         assertEquals(rules.broken, List.of(), "seed " + seed);
-        assertTrue(deadlines.size() > 50, "only " + deadlines.size() + " taken on");
+        assertTrue(deadlineNanosById.size() > 50,
+            "only " + deadlineNanosById.size() + " messages were accepted");
     }
 
     private void prepare(long seed) throws Exception {
-        deadlines.clear();
-        ends.clear();
-        messages.set(0);
+        deadlineNanosById.clear();
+        outcomeNanosById.clear();
+        messageCount.set(0);
         rules = new MessageRules() {
             @Override
             void delivers(String id) {
                 super.delivers(id);
-                ends.putIfAbsent(id, System.nanoTime());
+                outcomeNanosById.putIfAbsent(id, System.nanoTime());
             }
         };
         random = new Random(seed);
@@ -98,25 +105,26 @@
         stand.limits = ",\"disk_mb\":0.5";
         CopyingEndpoint.listed(stand, "e1", 1, "plain", random.nextLong(), rules);
         CopyingEndpoint.listed(stand, "e2", 2, "bundled", random.nextLong(), rules);
-        stand.onNotice = this::hearNotices;
-        playing = true;
+        stand.onNotice = this::receiveNotices;
+        clientsRunning = true;
     }
 
-    private String hearNotices(Stand.Got got) {
-        for (Matcher notice = NOTICE.matcher(got.body); notice.find();) {
-            if (notice.group(2).equals("handed_back") && !ends.containsKey(notice.group(1))) {
+    /** Records the outcomes that the platform is notified of, and acknowledges the notices. */
+    private String receiveNotices(Stand.Got request) {
+        for (Matcher notice = NOTICE.matcher(request.body); notice.find();) {
+            if (notice.group(2).equals("handed_back") && !outcomeNanosById.containsKey(notice.group(1))) {
                 rules.handedBack(notice.group(1));
             }
-            ends.putIfAbsent(notice.group(1), System.nanoTime());
+            outcomeNanosById.putIfAbsent(notice.group(1), System.nanoTime());
         }
         return "HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private void handIn(Random choices) {
-        while (playing) {
+    private void submitUntilStopped(Random choices) {
+        while (clientsRunning) {
             try (Socket socket = stand.connect()) {
-                while (playing) {
-                    handInOne(socket, choices);
+                while (clientsRunning) {
+                    submitOne(socket, choices);
                     Stand.pause(5 + choices.nextInt(40));
                 }
             } catch (IOException down) {
@@ -125,14 +133,14 @@
         }
     }
 
-    private void handInOne(Socket socket, Random choices) throws IOException {
-        int number = messages.incrementAndGet();
+    private void submitOne(Socket socket, Random choices) throws IOException {
+        int number = messageCount.incrementAndGet();
         String id = "m" + number;
-        long at = System.nanoTime();
+        long submittedNanos = System.nanoTime();
         int status = Stand.ask(socket, Stand.envelope(id, number % 2 == 0 ? "order" : "status",
-            1 + choices.nextInt(2), WITHIN_MS, "x".repeat(choices.nextInt(2_000)))).status();
+            1 + choices.nextInt(2), TIMEOUT_MILLIS, "x".repeat(choices.nextInt(2_000)))).status();
         if (status == 202) {
-            deadlines.put(id, at + TimeUnit.MILLISECONDS.toNanos(WITHIN_MS));
+            deadlineNanosById.put(id, submittedNanos + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS));
         } else {
             rules.refusedToClients.add(id);
         }
@@ -144,7 +152,7 @@
             case 0, 1 -> {
                 shim.fail(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
                 Stand.pause(50 + random.nextInt(600));
-                assertTrue(stand.process.isAlive(), "the relay ended as its folder failed");
+                assertTrue(stand.process.isAlive(), "the relay ended when its folder failed");
                 shim.heal();
             }
             case 2 -> {
@@ -162,13 +170,17 @@
                 Stand.pause(150);
                 stand.signal("CONT");
             }
-            default -> shim.stepWallClock((random.nextInt(3) - 1) * HOUR);
+            default -> shim.stepWallClock((random.nextInt(3) - 1) * HOUR_SECONDS);
         }
     }
 
+    /**
+     * Starts the relay again, in some cases after a step of the wall clock or with a folder that fails for a
+     * while.
+     */
     private void restart() throws Exception {
         if (random.nextBoolean()) {
-            shim.stepWallClock((random.nextInt(3) - 1) * HOUR);
+            shim.stepWallClock((random.nextInt(3) - 1) * HOUR_SECONDS);
         }
         boolean folderFails = random.nextInt(3) == 0;
         if (folderFails) {
@@ -180,14 +192,20 @@
             Stand.pause(300 + random.nextInt(1_500));
             shim.heal();
         }
-        until("it is ready again", 10_000, () -> stand.isReady());
-        readyAt = System.nanoTime();
+        until("the relay is ready again", 10_000, () -> stand.isReady());
+        readyNanos = System.nanoTime();
     }
 
-    private void checkEnd(String id, long deadline) {
-        long late = ends.get(id) - Math.max(deadline + END_SLACK_NANOS, readyAt + RESTART_SLACK_NANOS);
-        if (late > 0) {
-            rules.broken.add(id + " had its end " + TimeUnit.NANOSECONDS.toMillis(late) + " ms late");
+    /**
+     * Records a violation if the outcome came later than the tolerance after the deadline, and after the
+     * last restart.
+     */
+    private void checkOutcomeInTime(String id, long deadlineNanos) {
+        long lateNanos = outcomeNanosById.get(id)
+            - Math.max(deadlineNanos + OUTCOME_TOLERANCE_NANOS, readyNanos + RESTART_TOLERANCE_NANOS);
+        if (lateNanos > 0) {
+            rules.broken
+                .add(id + " had its outcome " + TimeUnit.NANOSECONDS.toMillis(lateNanos) + " ms late");
         }
     }
 }
