--- a/relay/src/test/java/yewpath/ClosingTest.java
+++ b/relay/src/test/java/yewpath/ClosingTest.java
@@ -2,9 +2,9 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.Stand.OK;
-import static yewpath.Stand.SILENCE;
-import static yewpath.Stand.until;
+import static yewpath.RelayFixture.OK;
+import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -23,11 +23,11 @@
  * Shutdown of a relay: each client that has connected gets a response, and no peer delays the exit beyond
  * its limit.
  */
-public final class ClosingTest extends Stand.Tests {
+public final class ClosingTest extends RelayFixture.RelayTest {
     private final List<Socket> sockets = new ArrayList<>();
 
     private Socket connect() throws IOException {
-        Socket socket = stand.connect();
+        Socket socket = fixture.connect();
         sockets.add(socket);
         return socket;
     }
@@ -44,9 +44,9 @@
      */
     private long terminateAndSuspend() throws Exception {
         long terminatedNanos = System.nanoTime();
-        stand.process.destroy();
-        until("the shutdown begins", 2000, () -> stand.hasLogged("relay.closing"));
-        stand.signal("STOP");
+        fixture.process.destroy();
+        waitUntil("the shutdown begins", 2000, () -> fixture.hasLogged("relay.closing"));
+        fixture.signal("STOP");
         return terminatedNanos;
     }
 
@@ -55,14 +55,14 @@
      * once.
      */
     private void resumeWhenExitIsDue(long terminatedNanos) throws Exception {
-        until("the exit is due", 3000, () -> System.nanoTime() - terminatedNanos > 1_200_000_000L);
-        stand.signal("CONT");
+        waitUntil("the exit is due", 3000, () -> System.nanoTime() - terminatedNanos > 1_200_000_000L);
+        fixture.signal("CONT");
     }
 
     private void assertExitsInTime() throws Exception {
-        assertTrue(stand.process.waitFor(3_600, TimeUnit.MILLISECONDS),
+        assertTrue(fixture.process.waitFor(3_600, TimeUnit.MILLISECONDS),
             "the relay runs longer than the shutdown limit");
-        assertEquals(stand.process.exitValue(), 0);
+        assertEquals(fixture.process.exitValue(), 0);
         for (Socket socket : sockets) {
             socket.close();
         }
@@ -75,14 +75,16 @@
      */
     @Test
     public void everyConnectedClientIsAnsweredWhenExitIsDue() throws Exception {
-        stand.operator = "[closing]\nleast = \"1 s\"\n";
-        stand.endpoint(1, request -> OK);
-        stand.start();
+        fixture.operatorConfig = "[closing]\nleast = \"1 s\"\n";
+        fixture.addEndpoint(1, request -> OK);
+        fixture.start();
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             idle.add(connect());
             assertEquals(
-                Stand.ask(idle.get(i), Stand.envelope("before" + i, "status", 1, 7900, "x")).status(),
+                RelayFixture
+                    .exchange(idle.get(i), RelayFixture.messageRequest("before" + i, "status", 1, 7900, "x"))
+                    .status(),
                 202);
         }
         long terminatedNanos = terminateAndSuspend();
@@ -92,19 +94,20 @@
             clients.add(connect());
         }
         Socket incomplete = connect();
-        String whole = Stand.envelope("half", "status", 1, 7900, "in two parts");
+        String whole = RelayFixture.messageRequest("half", "status", 1, 7900, "in two parts");
         send(incomplete, whole.substring(0, whole.length() - 5));
         for (int i = 0; i < clients.size(); i++) {
-            send(clients.get(i), Stand.envelope("late" + i, "status", 1, 7900, "y".repeat(i % 2 * 3000)));
+            send(clients.get(i),
+                RelayFixture.messageRequest("late" + i, "status", 1, 7900, "y".repeat(i % 2 * 3000)));
         }
         resumeWhenExitIsDue(terminatedNanos);
         for (int i = 0; i < clients.size(); i++) {
-            Stand.Answer answer = Stand.answer(clients.get(i));
+            RelayFixture.Response answer = RelayFixture.readResponse(clients.get(i));
             assertEquals(answer.status(), 503, "connection " + i);
             assertEquals(answer.headers().get("connection"), "close");
         }
         send(incomplete, whole.substring(whole.length() - 5));
-        assertEquals(Stand.answer(incomplete).status(), 503);
+        assertEquals(RelayFixture.readResponse(incomplete).status(), 503);
         assertExitsInTime();
     }
 
@@ -114,15 +117,18 @@
      */
     @Test
     public void idleConnectionsAreClosedCleanlyBeforeExit() throws Exception {
-        stand.endpoint(1, request -> SILENCE);
-        stand.start();
+        fixture.addEndpoint(1, request -> NO_RESPONSE);
+        fixture.start();
         Socket idle = connect();
-        assertEquals(Stand.ask(idle, Stand.envelope("out", "order", 1, 9000, "x")).status(), 202);
-        until("the call is in progress", 2000, () -> stand.figure("calls_out") == 1);
-        stand.process.destroy();
+        assertEquals(
+            RelayFixture.exchange(idle, RelayFixture.messageRequest("out", "order", 1, 9000, "x")).status(),
+            202);
+        waitUntil("the call is in progress", 2000, () -> fixture.statistic("calls_out") == 1);
+        fixture.process.destroy();
         assertEquals(idle.getInputStream().read(), -1, "unsolicited bytes on the idle connection");
-        assertTrue(stand.process.isAlive(), "the connection was closed by the end of the process");
-        assertEquals(stand.ask(Stand.envelope("again", "status", 1, 7900, "x")).status(), 503,
+        assertTrue(fixture.process.isAlive(), "the connection was closed by the end of the process");
+        assertEquals(fixture.exchange(RelayFixture.messageRequest("again", "status", 1, 7900, "x")).status(),
+            503,
             "a new request is refused");
         assertExitsInTime();
     }
@@ -133,9 +139,9 @@
      */
     @Test
     public void clientsThatNeverFinishDelayTheExitOnlyUpToTheLimit() throws Exception {
-        stand.operator = "[closing]\nleast = \"2 s\"\n";
-        stand.endpoint(1, request -> OK);
-        stand.start();
+        fixture.operatorConfig = "[closing]\nleast = \"2 s\"\n";
+        fixture.addEndpoint(1, request -> OK);
+        fixture.start();
         Socket notReading = connect();
         notReading.setSoTimeout(100);
         AtomicBoolean isBlocked = new AtomicBoolean();
@@ -154,15 +160,16 @@
         });
         sender.setDaemon(true);
         sender.start();
-        until("many responses are pending for it", 5000, isBlocked::get);
+        waitUntil("many responses are pending for it", 5000, isBlocked::get);
         Socket incomplete = connect();
         send(incomplete, "POST /status HTTP/1.1\r\nContent-Le");
         Socket invalid = connect();
         send(invalid, "\0\1\2 garbage\r\n\r\n");
         Socket valid = connect();
-        stand.process.destroy();
-        until("the shutdown begins", 2000, () -> stand.hasLogged("relay.closing"));
-        assertEquals(Stand.ask(valid, Stand.envelope("good", "status", 1, 7900, "x")).status(), 503);
+        fixture.process.destroy();
+        waitUntil("the shutdown begins", 2000, () -> fixture.hasLogged("relay.closing"));
+        assertEquals(RelayFixture.exchange(valid, RelayFixture.messageRequest("good", "status", 1, 7900, "x"))
+            .status(), 503);
         assertExitsInTime();
     }
 
@@ -172,14 +179,14 @@
      */
     @Test
     public void messageThatExpiresDuringShutdownHasItsOutcome() throws Exception {
-        stand.endpoint(1, request -> SILENCE);
-        stand.closed(2);
-        stand.start();
-        assertEquals(stand.handIn("out", "order", 1, 9000), 202);
-        until("the call is in progress", 2000, () -> stand.figure("calls_out") == 1);
-        assertEquals(stand.handIn("held", "status", 2, 2600), 202);
-        stand.process.destroy();
-        until("the platform is notified", 3300, () -> stand.ended("held", "handed_back"));
+        fixture.addEndpoint(1, request -> NO_RESPONSE);
+        fixture.listDrainingEndpoint(2);
+        fixture.start();
+        assertEquals(fixture.submit("out", "order", 1, 9000), 202);
+        waitUntil("the call is in progress", 2000, () -> fixture.statistic("calls_out") == 1);
+        assertEquals(fixture.submit("held", "status", 2, 2600), 202);
+        fixture.process.destroy();
+        waitUntil("the platform is notified", 3300, () -> fixture.hasOutcomeNotice("held", "handed_back"));
         assertExitsInTime();
     }
 
@@ -190,37 +197,39 @@
      */
     @Test
     public void terminationAtAnyMomentOfAStartLosesNoAcceptedMessage() throws Exception {
-        Stand.Server endpoint = stand.endpoint(1, request -> OK);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
         Set<String> accepted = ConcurrentHashMap.newKeySet();
         AtomicBoolean running = new AtomicBoolean(true);
         Thread client = new Thread(() -> {
             for (int i = 0; running.get(); i++) {
                 String id = "s" + i;
-                try (Socket socket = new Socket(Stand.RELAY, stand.port)) {
+                try (Socket socket = new Socket(RelayFixture.RELAY_ADDRESS, fixture.port)) {
                     socket.setSoTimeout(5_000);
-                    if (Stand.ask(socket, Stand.envelope(id, "status", 1, 30_000, "x")).status() == 202) {
+                    if (RelayFixture
+                        .exchange(socket, RelayFixture.messageRequest(id, "status", 1, 30_000, "x"))
+                        .status() == 202) {
                         accepted.add(id);
                     }
                 } catch (SocketTimeoutException timeout) {
                     accepted.add(id + " got no response");
                 } catch (IOException down) {
-                    Stand.pause(1);
+                    RelayFixture.pause(1);
                 }
             }
         });
         client.start();
         for (int delayMillis = 40; delayMillis < 900; delayMillis += 70) {
-            stand.launch();
-            stand.process.waitFor(delayMillis, TimeUnit.MILLISECONDS);
-            stand.process.destroy();
-            assertTrue(stand.process.waitFor(4, TimeUnit.SECONDS),
+            fixture.startProcess();
+            fixture.process.waitFor(delayMillis, TimeUnit.MILLISECONDS);
+            fixture.process.destroy();
+            assertTrue(fixture.process.waitFor(4, TimeUnit.SECONDS),
                 "not terminated; SIGTERM was sent after " + delayMillis + " ms");
         }
         running.set(false);
         client.join();
-        stand.start();
-        until("each accepted message is delivered", 8000,
+        fixture.start();
+        waitUntil("each accepted message is delivered", 8000,
             () -> accepted.stream()
-                .allMatch(id -> endpoint.got.stream().anyMatch(call -> id.equals(call.id()))));
+                .allMatch(id -> endpoint.requests.stream().anyMatch(call -> id.equals(call.id()))));
     }
 }
--- a/relay/src/test/java/yewpath/FaultSoakTest.java
+++ b/relay/src/test/java/yewpath/FaultSoakTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.Stand.until;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -24,7 +24,7 @@
  * the state folder, kills, shutdowns, suspensions and steps of the wall clock. A seed repeats the plan of
  * faults, but not the exact timing, which depends on the scheduler.
  */
-public final class FaultSoakTest extends Stand.Tests {
+public final class FaultSoakTest extends RelayFixture.RelayTest {
     private static final int CLIENT_COUNT = 4;
     private static final int TIMEOUT_MILLIS = 3_000;
     private static final long FAULT_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(8);
@@ -61,7 +61,7 @@
     @Test(dataProvider = "seeds")
     public void mixedFaultsViolateNoRule(long seed) throws Exception {
         prepare(seed);
-        stand.start();
+        fixture.start();
         readyNanos = System.nanoTime();
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENT_COUNT; i++) {
@@ -71,18 +71,18 @@
         clients.forEach(Thread::start);
         long endNanos = System.nanoTime() + FAULT_PERIOD_NANOS;
         while (System.nanoTime() < endNanos) {
-            Stand.pause(100 + random.nextInt(600));
+            RelayFixture.pause(100 + random.nextInt(600));
             playFault();
         }
         clientsRunning = false;
         for (Thread client : clients) {
             client.join();
         }
-        shim.heal();
-        until("each accepted message has its outcome", 12_000,
+        shim.clearFaults();
+        waitUntil("each accepted message has its outcome", 12_000,
             () -> outcomeNanosById.keySet().containsAll(deadlineNanosById.keySet()));
         deadlineNanosById.forEach(this::checkOutcomeInTime);
-        assertEquals(rules.broken, List.of(), "seed " + seed);
+        assertEquals(rules.violations, List.of(), "seed " + seed);
         assertTrue(deadlineNanosById.size() > 50,
             "only " + deadlineNanosById.size() + " messages were accepted");
     }
@@ -93,27 +93,27 @@
         messageCount.set(0);
         rules = new MessageRules() {
             @Override
-            void delivers(String id) {
-                super.delivers(id);
+            void messageDelivered(String id) {
+                super.messageDelivered(id);
                 outcomeNanosById.putIfAbsent(id, System.nanoTime());
             }
         };
         random = new Random(seed);
-        shim = new FaultShim(stand);
-        stand.holdMost = 400;
-        stand.operator = "[log]\nlevel = \"debug\"\n";
-        stand.limits = ",\"disk_mb\":0.5";
-        CopyingEndpoint.listed(stand, "e1", 1, "plain", random.nextLong(), rules);
-        CopyingEndpoint.listed(stand, "e2", 2, "bundled", random.nextLong(), rules);
-        stand.onNotice = this::receiveNotices;
+        shim = new FaultShim(fixture);
+        fixture.maxOpenMessages = 400;
+        fixture.operatorConfig = "[log]\nlevel = \"debug\"\n";
+        fixture.extraLimits = ",\"disk_mb\":0.5";
+        CopyingEndpoint.addTo(fixture, "e1", 1, "plain", random.nextLong(), rules);
+        CopyingEndpoint.addTo(fixture, "e2", 2, "bundled", random.nextLong(), rules);
+        fixture.noticeResponder = this::receiveNotices;
         clientsRunning = true;
     }
 
     /** Records the outcomes that the platform is notified of, and acknowledges the notices. */
-    private String receiveNotices(Stand.Got request) {
+    private String receiveNotices(RelayFixture.ReceivedRequest request) {
         for (Matcher notice = NOTICE.matcher(request.body); notice.find();) {
             if (notice.group(2).equals("handed_back") && !outcomeNanosById.containsKey(notice.group(1))) {
-                rules.handedBack(notice.group(1));
+                rules.messageRejected(notice.group(1));
             }
             outcomeNanosById.putIfAbsent(notice.group(1), System.nanoTime());
         }
@@ -122,13 +122,13 @@
 
     private void submitUntilStopped(Random choices) {
         while (clientsRunning) {
-            try (Socket socket = stand.connect()) {
+            try (Socket socket = fixture.connect()) {
                 while (clientsRunning) {
                     submitOne(socket, choices);
-                    Stand.pause(5 + choices.nextInt(40));
+                    RelayFixture.pause(5 + choices.nextInt(40));
                 }
             } catch (IOException down) {
-                Stand.pause(20);
+                RelayFixture.pause(20);
             }
         }
     }
@@ -137,8 +137,10 @@
         int number = messageCount.incrementAndGet();
         String id = "m" + number;
         long submittedNanos = System.nanoTime();
-        int status = Stand.ask(socket, Stand.envelope(id, number % 2 == 0 ? "order" : "status",
-            1 + choices.nextInt(2), TIMEOUT_MILLIS, "x".repeat(choices.nextInt(2_000)))).status();
+        int status = RelayFixture
+            .exchange(socket, RelayFixture.messageRequest(id, number % 2 == 0 ? "order" : "status",
+                1 + choices.nextInt(2), TIMEOUT_MILLIS, "x".repeat(choices.nextInt(2_000))))
+            .status();
         if (status == 202) {
             deadlineNanosById.put(id, submittedNanos + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS));
         } else {
@@ -147,28 +149,28 @@
     }
 
     private void playFault() throws Exception {
-        assertTrue(stand.process.isAlive(), "the relay ended by itself");
+        assertTrue(fixture.process.isAlive(), "the relay ended by itself");
         switch (random.nextInt(6)) {
             case 0, 1 -> {
-                shim.fail(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
-                Stand.pause(50 + random.nextInt(600));
-                assertTrue(stand.process.isAlive(), "the relay ended when its folder failed");
-                shim.heal();
+                shim.failSystemCalls(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
+                RelayFixture.pause(50 + random.nextInt(600));
+                assertTrue(fixture.process.isAlive(), "the relay ended when its folder failed");
+                shim.clearFaults();
             }
             case 2 -> {
-                stand.kill();
+                fixture.kill();
                 restart();
             }
             case 3 -> {
-                stand.signal("TERM");
-                stand.process.waitFor(3_700, TimeUnit.MILLISECONDS);
-                stand.kill();
+                fixture.signal("TERM");
+                fixture.process.waitFor(3_700, TimeUnit.MILLISECONDS);
+                fixture.kill();
                 restart();
             }
             case 4 -> {
-                stand.signal("STOP");
-                Stand.pause(150);
-                stand.signal("CONT");
+                fixture.signal("STOP");
+                RelayFixture.pause(150);
+                fixture.signal("CONT");
             }
             default -> shim.stepWallClock((random.nextInt(3) - 1) * HOUR_SECONDS);
         }
@@ -184,15 +186,15 @@
         }
         boolean folderFails = random.nextInt(3) == 0;
         if (folderFails) {
-            shim.fail(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
+            shim.failSystemCalls(DISK_FAULTS[random.nextInt(DISK_FAULTS.length)]);
         }
-        Stand.pause(random.nextInt(600));
-        stand.launch();
+        RelayFixture.pause(random.nextInt(600));
+        fixture.startProcess();
         if (folderFails) {
-            Stand.pause(300 + random.nextInt(1_500));
-            shim.heal();
+            RelayFixture.pause(300 + random.nextInt(1_500));
+            shim.clearFaults();
         }
-        until("the relay is ready again", 10_000, () -> stand.isReady());
+        waitUntil("the relay is ready again", 10_000, () -> fixture.isReady());
         readyNanos = System.nanoTime();
     }
 
@@ -204,7 +206,7 @@
         long lateNanos = outcomeNanosById.get(id)
             - Math.max(deadlineNanos + OUTCOME_TOLERANCE_NANOS, readyNanos + RESTART_TOLERANCE_NANOS);
         if (lateNanos > 0) {
-            rules.broken
+            rules.violations
                 .add(id + " had its outcome " + TimeUnit.NANOSECONDS.toMillis(lateNanos) + " ms late");
         }
     }
--- a/relay/src/test/java/yewpath/IntakeTest.java
+++ b/relay/src/test/java/yewpath/IntakeTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
-import static yewpath.Stand.OK;
+import static yewpath.RelayFixture.OK;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -22,20 +22,20 @@
  */
 public final class IntakeTest {
     private static final String FIELDS = "Request-Id: x1\r\nRequest-Timeout: 800m\r\nX-Addressing: dest=1\r\n";
-    private Stand stand;
-    private Stand.Server endpoint;
+    private RelayFixture fixture;
+    private RelayFixture.StubServer endpoint;
 
     @BeforeClass
     public void start() throws Exception {
-        stand = new Stand();
-        stand.operator = "[clients]\nconnections = 4\nrequest_within = \"700 ms\"\nidle_for = \"1 min\"\n";
-        endpoint = stand.endpoint(1, request -> OK);
-        stand.start();
+        fixture = new RelayFixture();
+        fixture.operatorConfig = "[clients]\nconnections = 4\nrequest_within = \"700 ms\"\nidle_for = \"1 min\"\n";
+        endpoint = fixture.addEndpoint(1, request -> OK);
+        fixture.start();
     }
 
     @AfterClass(alwaysRun = true)
     public void stop() throws Exception {
-        stand.close();
+        fixture.close();
     }
 
     @DataProvider
@@ -72,11 +72,12 @@
     @Test(dataProvider = "malformedRequests")
     public void malformedRequestIsRefusedAndTheConnectionClosed(String description, int status,
         String request) throws Exception {
-        try (Socket socket = stand.connect()) {
-            assertEquals(Stand.ask(socket, request).status(), status, description);
-            assertTrue(Stand.closes(socket, 2000), description + ": the connection stays open");
+        try (Socket socket = fixture.connect()) {
+            assertEquals(RelayFixture.exchange(socket, request).status(), status, description);
+            assertTrue(RelayFixture.isClosedWithin(socket, 2000),
+                description + ": the connection stays open");
         }
-        assertTrue(endpoint.got.stream().noneMatch(call -> "x1".equals(call.id())),
+        assertTrue(endpoint.requests.stream().noneMatch(call -> "x1".equals(call.id())),
             description + ": was sent to the endpoint");
     }
 
@@ -85,7 +86,7 @@
         return new Object[][]{
             {404, "POST /elsewhere HTTP/1.1\r\n" + FIELDS + "\r\n"},
             {404, "GET / HTTP/1.1\r\n\r\n"},
-            {503, Stand.envelope("x3", "status", 77, 800, "no list names its destination")},
+            {503, RelayFixture.messageRequest("x3", "status", 77, 800, "no list names its destination")},
             {405, "GET /status HTTP/1.1\r\n" + FIELDS + "\r\n"},
             {405, "POST /health/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n"},
             {400, "POST /status HTTP/1.1\r\nRequest-Timeout: 800m\r\nX-Addressing: dest=1\r\n\r\n"},
@@ -105,9 +106,9 @@
     @Test(dataProvider = "unacceptableRequests")
     public void unacceptableRequestIsRefusedAndTheConnectionKept(int status, String request)
         throws Exception {
-        try (Socket socket = stand.connect()) {
-            assertEquals(Stand.ask(socket, request).status(), status);
-            assertEquals(Stand.ask(socket, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
+        try (Socket socket = fixture.connect()) {
+            assertEquals(RelayFixture.exchange(socket, request).status(), status);
+            assertEquals(RelayFixture.exchange(socket, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
         }
     }
 
@@ -117,17 +118,19 @@
      */
     @Test
     public void unlistedDestinationIsRefusedWithARetryTimeUntilItIsListed() throws Exception {
-        try (Socket socket = stand.connect()) {
-            Stand.Answer early = Stand.ask(socket, Stand.envelope("u1", "status", 9, 800, "x"));
+        try (Socket socket = fixture.connect()) {
+            RelayFixture.Response early = RelayFixture.exchange(socket,
+                RelayFixture.messageRequest("u1", "status", 9, 800, "x"));
             assertEquals(early.status(), 503);
             assertEquals(early.headers().get("retry-after"), "1.000");
-            assertEquals(stand.figure("open"), 0);
-            stand.tell(false, stand.entry("late", endpoint.address(), 9, "plain", "up"));
-            Stand.until("the message is accepted once its destination is listed", 3000,
-                () -> Stand.ask(socket, Stand.envelope("u2", "status", 9, 7900, "x")).status() == 202);
+            assertEquals(fixture.statistic("open"), 0);
+            fixture.publish(false, fixture.listEntry("late", endpoint.address(), 9, "plain", "up"));
+            RelayFixture.waitUntil("the message is accepted once its destination is listed", 3000,
+                () -> RelayFixture.exchange(socket, RelayFixture.messageRequest("u2", "status", 9, 7900, "x"))
+                    .status() == 202);
         }
-        Stand.until("the message is delivered", 2000,
-            () -> endpoint.got.stream().anyMatch(call -> "u2".equals(call.id())));
+        RelayFixture.waitUntil("the message is delivered", 2000,
+            () -> endpoint.requests.stream().anyMatch(call -> "u2".equals(call.id())));
     }
 
     /**
@@ -138,15 +141,15 @@
     public void acceptsAMessageThatArrivesByteByByteInChunks() throws Exception {
         String chunked = "POST /status HTTP/1.1\r\nRequest-Id: c1\r\nRequest-Timeout: 800000.5u\r\nX-Addressing: dest=1\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-T: v\r\n\r\n";
-        try (Socket socket = stand.connect()) {
+        try (Socket socket = fixture.connect()) {
             socket.setTcpNoDelay(true);
             OutputStream out = socket.getOutputStream();
             for (byte requestByte : chunked.getBytes(StandardCharsets.ISO_8859_1)) {
                 out.write(requestByte);
             }
-            assertEquals(Stand.answer(socket).status(), 202);
+            assertEquals(RelayFixture.readResponse(socket).status(), 202);
         }
-        Stand.until("the complete message is delivered", 2000, () -> endpoint.got.stream()
+        RelayFixture.waitUntil("the complete message is delivered", 2000, () -> endpoint.requests.stream()
             .anyMatch(call -> "c1".equals(call.id()) && call.body.equals("abcde")));
     }
 
@@ -158,14 +161,14 @@
     public void answersPipelinedRequestsInOrder() throws Exception {
         StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 8; i++) {
-            pipelined.append(Stand.envelope("p" + i, "status", 1, 5000, "b".repeat(60_000)));
+            pipelined.append(RelayFixture.messageRequest("p" + i, "status", 1, 5000, "b".repeat(60_000)));
             pipelined.append("GET /nowhere HTTP/1.1\r\n\r\n");
         }
-        try (Socket socket = stand.connect()) {
+        try (Socket socket = fixture.connect()) {
             socket.getOutputStream().write(pipelined.toString().getBytes(StandardCharsets.ISO_8859_1));
             for (int i = 0; i < 8; i++) {
-                assertEquals(Stand.answer(socket).status(), 202);
-                assertEquals(Stand.answer(socket).status(), 404);
+                assertEquals(RelayFixture.readResponse(socket).status(), 202);
+                assertEquals(RelayFixture.readResponse(socket).status(), 404);
             }
         }
     }
@@ -179,34 +182,36 @@
         String smallChunks = "1\r\nx\r\n".repeat(30_000) + "0\r\n\r\n";
         String chunked = "POST /status HTTP/1.1\r\nRequest-Id: f2\r\nRequest-Timeout: 5000m\r\nX-Addressing: dest=1\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n" + smallChunks;
-        stand.signal("STOP");
-        try (Socket socket = stand.connect()) {
-            socket.getOutputStream().write((Stand.envelope("f1", "status", 1, 5000, "x") + chunked)
-                .getBytes(StandardCharsets.ISO_8859_1));
-            stand.signal("CONT");
-            assertEquals(Stand.answer(socket).status(), 202);
-            assertEquals(Stand.answer(socket).status(), 202);
+        fixture.signal("STOP");
+        try (Socket socket = fixture.connect()) {
+            socket.getOutputStream()
+                .write((RelayFixture.messageRequest("f1", "status", 1, 5000, "x") + chunked)
+                    .getBytes(StandardCharsets.ISO_8859_1));
+            fixture.signal("CONT");
+            assertEquals(RelayFixture.readResponse(socket).status(), 202);
+            assertEquals(RelayFixture.readResponse(socket).status(), 202);
         }
     }
 
     /** Guards against a deadlock with a client that sends its body only after the response 100 Continue. */
     @Test
     public void requestsTheBodyOfAClientThatExpectsContinue() throws Exception {
-        try (Socket socket = stand.connect()) {
+        try (Socket socket = fixture.connect()) {
             String head = "POST /status HTTP/1.1\r\n" + FIELDS.replace("x1", "w1")
                 + "Expect: 100-continue\r\n"
                 + "Content-Length: 2\r\n\r\n";
-            assertEquals(Stand.ask(socket, head).status(), 100);
-            assertEquals(Stand.ask(socket, "ok").status(), 202);
+            assertEquals(RelayFixture.exchange(socket, head).status(), 100);
+            assertEquals(RelayFixture.exchange(socket, "ok").status(), 202);
         }
     }
 
     /** Guards against a connection that is occupied without limit by an incomplete request. */
     @Test
     public void incompleteRequestTimesOut() throws Exception {
-        try (Socket socket = stand.connect()) {
-            assertEquals(Stand.ask(socket, "POST /status HTTP/1.1\r\nRequest-Id: s").status(), 408);
-            assertTrue(Stand.closes(socket, 2000));
+        try (Socket socket = fixture.connect()) {
+            assertEquals(RelayFixture.exchange(socket, "POST /status HTTP/1.1\r\nRequest-Id: s").status(),
+                408);
+            assertTrue(RelayFixture.isClosedWithin(socket, 2000));
         }
     }
 
@@ -217,17 +222,17 @@
     @Test
     public void messageOfAClientThatHasGoneIsNotSent() throws Exception {
         // The relay is suspended, so that it finds the request and the end of the connection at once.
-        stand.signal("STOP");
-        try (Socket socket = stand.connect()) {
-            socket.getOutputStream().write(Stand.envelope("l1", "order", 1, 5000, "x")
+        fixture.signal("STOP");
+        try (Socket socket = fixture.connect()) {
+            socket.getOutputStream().write(RelayFixture.messageRequest("l1", "order", 1, 5000, "x")
                 .getBytes(StandardCharsets.ISO_8859_1));
         }
-        stand.signal("CONT");
-        assertEquals(stand.handIn("l2", "order", 1, 5000), 202);
-        Stand.until("the next message is delivered", 2000,
-            () -> endpoint.got.stream().anyMatch(call -> "l2".equals(call.id())));
+        fixture.signal("CONT");
+        assertEquals(fixture.submit("l2", "order", 1, 5000), 202);
+        RelayFixture.waitUntil("the next message is delivered", 2000,
+            () -> endpoint.requests.stream().anyMatch(call -> "l2".equals(call.id())));
         Thread.sleep(200);
-        assertTrue(endpoint.got.stream().noneMatch(call -> "l1".equals(call.id())),
+        assertTrue(endpoint.requests.stream().noneMatch(call -> "l1".equals(call.id())),
             "sent although its client had gone");
     }
 
@@ -235,10 +240,11 @@
     @Test
     public void incompleteBodiesOnManyConnectionsDoNotExhaustMemory() throws Exception {
         List<Socket> sockets = new ArrayList<>();
-        byte[] incomplete = Stand.envelope("h", "status", 1, 5000, "h".repeat(65_000)).substring(0, 62_000)
+        byte[] incomplete = RelayFixture.messageRequest("h", "status", 1, 5000, "h".repeat(65_000))
+            .substring(0, 62_000)
             .getBytes(StandardCharsets.ISO_8859_1);
-        try (Stand crowded = new Stand()) {
-            crowded.endpoint(1, request -> OK);
+        try (RelayFixture crowded = new RelayFixture()) {
+            crowded.addEndpoint(1, request -> OK);
             crowded.start();
             for (int i = 0; i < 620; i++) {
                 sockets.add(crowded.connect());
@@ -248,7 +254,7 @@
                     continue;
                 }
             }
-            assertEquals(crowded.handIn("after", "status", 1, 5000), 202);
+            assertEquals(crowded.submit("after", "status", 1, 5000), 202);
             assertTrue(crowded.process.isAlive());
         } finally {
             for (Socket socket : sockets) {
@@ -263,23 +269,23 @@
      */
     @Test
     public void silentAndSlowClientsAreDisconnectedWithinThreeSeconds() throws Exception {
-        try (Stand server = new Stand()) {
-            server.endpoint(1, request -> OK);
+        try (RelayFixture server = new RelayFixture()) {
+            server.addEndpoint(1, request -> OK);
             server.start();
             long startNanos = System.nanoTime();
             try (Socket silent = server.connect();
                 Socket late = server.connect();
                 Socket kept = server.connect()) {
-                assertEquals(Stand.ask(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
-                Stand.pause(1500);
+                assertEquals(RelayFixture.exchange(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
+                RelayFixture.pause(1500);
                 late.getOutputStream()
                     .write("POST /status HTTP/1.1\r\nRequest-Id".getBytes(StandardCharsets.ISO_8859_1));
-                assertTrue(Stand.closes(silent, 1400), "the silent connection is still open");
+                assertTrue(RelayFixture.isClosedWithin(silent, 1400), "the silent connection is still open");
                 assertTrue(System.nanoTime() - startNanos > 2_000_000_000L,
                     "the silent connection was closed before 2 s had passed");
-                assertEquals(Stand.answer(late).status(), 408);
+                assertEquals(RelayFixture.readResponse(late).status(), 408);
                 assertTrue(System.nanoTime() - startNanos < 3_000_000_000L, "the response 408 came too late");
-                assertEquals(Stand.ask(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
+                assertEquals(RelayFixture.exchange(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
             }
         }
     }
@@ -291,19 +297,20 @@
     @Test
     public void connectionsWithARequestAreNotEvicted() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (Stand crowded = new Stand()) {
-            crowded.operator = "[clients]\nconnections = 4\n";
-            crowded.endpoint(1, request -> OK);
+        try (RelayFixture crowded = new RelayFixture()) {
+            crowded.operatorConfig = "[clients]\nconnections = 4\n";
+            crowded.addEndpoint(1, request -> OK);
             crowded.start();
             crowded.signal("STOP");
             for (int i = 0; i < 300; i++) {
                 clients.add(crowded.connect());
-                clients.get(i).getOutputStream().write(Stand.envelope("rush" + i, "status", 1, 7900, "x")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+                clients.get(i).getOutputStream()
+                    .write(RelayFixture.messageRequest("rush" + i, "status", 1, 7900, "x")
+                        .getBytes(StandardCharsets.ISO_8859_1));
             }
             crowded.signal("CONT");
             for (int i = 0; i < clients.size(); i++) {
-                int status = Stand.answer(clients.get(i)).status();
+                int status = RelayFixture.readResponse(clients.get(i)).status();
                 assertTrue(status == 202 || status == 503, "connection " + i + ": " + status);
                 clients.get(i).close();
             }
@@ -314,14 +321,14 @@
     @Test
     public void silentConnectionsDoNotDisplaceActiveOnes() throws Exception {
         List<Socket> silent = new ArrayList<>();
-        try (Socket kept = stand.connect()) {
-            assertEquals(Stand.ask(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
+        try (Socket kept = fixture.connect()) {
+            assertEquals(RelayFixture.exchange(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
             for (int i = 0; i < 9; i++) {
-                silent.add(stand.connect());
-                Stand.pause(120);
+                silent.add(fixture.connect());
+                RelayFixture.pause(120);
             }
-            assertEquals(Stand.ask(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
-            assertTrue(Stand.closes(silent.get(0), 100));
+            assertEquals(RelayFixture.exchange(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
+            assertTrue(RelayFixture.isClosedWithin(silent.get(0), 100));
         } finally {
             for (Socket socket : silent) {
                 socket.close();
@@ -336,19 +343,20 @@
     @Test
     public void burstOfConnectionsLeavesDescriptorsForCalls() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (Stand crowded = new Stand()) {
-            crowded.limits = ",\"sockets\":128";
-            crowded.descriptors = 128;
-            Stand.Server healthyEndpoint = crowded.endpoint(1, request -> OK);
+        try (RelayFixture crowded = new RelayFixture()) {
+            crowded.extraLimits = ",\"sockets\":128";
+            crowded.maxFileDescriptors = 128;
+            RelayFixture.StubServer healthyEndpoint = crowded.addEndpoint(1, request -> OK);
             crowded.start();
             crowded.signal("STOP");
             for (int i = 0; i < 400; i++) {
                 clients.add(crowded.connect());
             }
             crowded.signal("CONT");
-            assertEquals(crowded.handIn("after", "status", 1, 5000), 202);
-            Stand.until("the message is delivered", 2000, () -> healthyEndpoint.got.size() == 1);
-            assertFalse(Files.readString(crowded.folder.resolve("log")).contains("Too many open files"));
+            assertEquals(crowded.submit("after", "status", 1, 5000), 202);
+            RelayFixture.waitUntil("the message is delivered", 2000,
+                () -> healthyEndpoint.requests.size() == 1);
+            assertFalse(Files.readString(crowded.directory.resolve("log")).contains("Too many open files"));
         } finally {
             for (Socket socket : clients) {
                 socket.close();
@@ -361,9 +369,11 @@
     public void readsOnlyALimitedAmountAfterARefusal() throws Exception {
         byte[] megabyte = new byte[1 << 20];
         int sentMegabytes = 0;
-        try (Socket socket = stand.connect()) {
+        try (Socket socket = fixture.connect()) {
             assertEquals(
-                Stand.ask(socket, "POST /status HTTP/1.1\r\n" + FIELDS + "Content-Length: 60000000\r\n\r\n")
+                RelayFixture
+                    .exchange(socket,
+                        "POST /status HTTP/1.1\r\n" + FIELDS + "Content-Length: 60000000\r\n\r\n")
                     .status(),
                 413);
             for (; sentMegabytes < 60; sentMegabytes++) {
@@ -384,12 +394,13 @@
         List<Socket> sockets = new ArrayList<>();
         try {
             for (int i = 0; i < 9; i++) {
-                sockets.add(stand.connect());
-                assertEquals(Stand.ask(sockets.get(i), "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
+                sockets.add(fixture.connect());
+                assertEquals(
+                    RelayFixture.exchange(sockets.get(i), "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
             }
             int open = 0;
             for (Socket socket : sockets) {
-                open += Stand.closes(socket, 100) ? 0 : 1;
+                open += RelayFixture.isClosedWithin(socket, 100) ? 0 : 1;
             }
             assertTrue(open <= 4, open + " of 9 connections stayed open");
         } finally {
--- a/relay/src/test/java/yewpath/LargeFleetTest.java
+++ b/relay/src/test/java/yewpath/LargeFleetTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
-import static yewpath.Stand.OK;
-import static yewpath.Stand.until;
+import static yewpath.RelayFixture.OK;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.net.Socket;
 import java.nio.file.Files;
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** One relay among a thousand others, with more endpoints than the connections that it may have. */
-public final class LargeFleetTest extends Stand.Tests {
+public final class LargeFleetTest extends RelayFixture.RelayTest {
     private static final int FLEET_SIZE = 1_024;
 
     /**
@@ -25,39 +25,40 @@
      */
     @Test
     public void idleClientsLeaveDescriptorsForCallsAndDiscovery() throws Exception {
-        stand.descriptors = 256;
-        stand.limits = ",\"sockets\":256";
-        stand.holdMost = 300;
-        Stand.Server server = new Stand.Server(request -> OK);
+        fixture.maxFileDescriptors = 256;
+        fixture.extraLimits = ",\"sockets\":256";
+        fixture.maxOpenMessages = 300;
+        RelayFixture.StubServer server = new RelayFixture.StubServer(request -> OK);
         for (int i = 0; i < 100; i++) {
-            stand.listed("e" + i, server.address(), i);
+            fixture.listEndpoint("e" + i, server.address(), i);
         }
-        stand.closed(200);
-        stand.start();
-        stand.newsAfter = -1;
-        stand.noticeStatus = 0;
-        stand.discovery.cutAll();
+        fixture.listDrainingEndpoint(200);
+        fixture.start();
+        fixture.watchDelayMillis = -1;
+        fixture.noticeStatus = 0;
+        fixture.discovery.closeConnections();
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            Socket socket = stand.connect();
+            Socket socket = fixture.connect();
             idle.add(socket);
             if (i % 2 == 0) {
-                Stand.ask(socket, "GET /health/live HTTP/1.1\r\n\r\n");
+                RelayFixture.exchange(socket, "GET /health/live HTTP/1.1\r\n\r\n");
             }
         }
-        assertEquals(stand.handIn("held", "status", 200, 900), 202);
+        assertEquals(fixture.submit("held", "status", 200, 900), 202);
         for (int i = 0; i < 100; i++) {
-            assertEquals(stand.handIn("to" + i, "status", i, 7900), 202);
+            assertEquals(fixture.submit("to" + i, "status", i, 7900), 202);
         }
-        until("each endpoint has its message", 5000, () -> server.got.size() == 100);
-        stand.news = "{\"version\":2,\"full\":false,\"servers\":["
-            + stand.entry("new", server.address(), 300, "plain", "up") + "]}";
-        stand.newsAfter = 0;
-        stand.noticeStatus = 204;
-        until("the new list is in effect", 6000,
-            () -> stand.handIn("n" + System.nanoTime(), "status", 300, 7900) == 202);
-        until("the owed notice is acknowledged", 3000, () -> stand.ended("held", "handed_back"));
-        assertFalse(stand.hasLogged("accept_failed") || stand.hasLogged("endpoint.sick"),
+        waitUntil("each endpoint has its message", 5000, () -> server.requests.size() == 100);
+        fixture.initialWatchData = "{\"version\":2,\"full\":false,\"servers\":["
+            + fixture.listEntry("new", server.address(), 300, "plain", "up") + "]}";
+        fixture.watchDelayMillis = 0;
+        fixture.noticeStatus = 204;
+        waitUntil("the new list is in effect", 6000,
+            () -> fixture.submit("n" + System.nanoTime(), "status", 300, 7900) == 202);
+        waitUntil("the owed notice is acknowledged", 3000,
+            () -> fixture.hasOutcomeNotice("held", "handed_back"));
+        assertFalse(fixture.hasLogged("accept_failed") || fixture.hasLogged("endpoint.sick"),
             "descriptors ran out");
         for (Socket socket : idle) {
             socket.close();
@@ -71,35 +72,41 @@
      */
     @Test
     public void thousandsOfEndpointsFitTheSmallestLimits() throws Exception {
-        stand.relays = FLEET_SIZE;
-        stand.holdMost = 3 * FLEET_SIZE;
-        stand.limits = ",\"sockets\":256";
-        stand.flags = List.of("-Xss256k", "-Xms51m", "-Xmx51m", "-XX:+AlwaysPreTouch",
+        fixture.relayCount = FLEET_SIZE;
+        fixture.maxOpenMessages = 3 * FLEET_SIZE;
+        fixture.extraLimits = ",\"sockets\":256";
+        fixture.jvmFlags = List.of("-Xss256k", "-Xms51m", "-Xmx51m", "-XX:+AlwaysPreTouch",
             "-XX:MaxMetaspaceSize=40m",
             "-XX:ReservedCodeCacheSize=24m", "-XX:MaxDirectMemorySize=8m");
-        Stand.Server server = new Stand.Server(request -> OK);
+        RelayFixture.StubServer server = new RelayFixture.StubServer(request -> OK);
         for (int i = 0; i < FLEET_SIZE; i++) {
-            stand.listed("listed-at-the-start-" + i, server.address(), i);
+            fixture.listEndpoint("listed-at-the-start-" + i, server.address(), i);
         }
-        stand.news = "{\"version\":2,\"full\":false,\"servers\":["
+        fixture.initialWatchData = "{\"version\":2,\"full\":false,\"servers\":["
             + IntStream.range(FLEET_SIZE, 2 * FLEET_SIZE)
-                .mapToObj(i -> stand.entry("listed-by-one-line-" + i, server.address(), i, "plain", "up"))
+                .mapToObj(
+                    i -> fixture.listEntry("listed-by-one-line-" + i, server.address(), i, "plain", "up"))
                 .collect(Collectors.joining(","))
             + "]}";
-        stand.start();
-        try (Socket client = stand.connect()) {
-            until("the list is in effect", 5000,
-                () -> Stand.ask(client, Stand.envelope("last", "status", 2 * FLEET_SIZE - 1, 7900, "x"))
+        fixture.start();
+        try (Socket client = fixture.connect()) {
+            waitUntil("the list is in effect", 5000,
+                () -> RelayFixture
+                    .exchange(client,
+                        RelayFixture.messageRequest("last", "status", 2 * FLEET_SIZE - 1, 7900, "x"))
                     .status() == 202);
             for (int i = 0; i < 2 * FLEET_SIZE - 1; i++) {
-                assertEquals(Stand.ask(client, Stand.envelope("to" + i, "status", i, 7900, "x")).status(),
+                assertEquals(RelayFixture
+                    .exchange(client, RelayFixture.messageRequest("to" + i, "status", i, 7900, "x")).status(),
                     202, "to " + i);
             }
         }
-        until("each endpoint has its message", 8000, () -> server.got.size() == 2 * FLEET_SIZE);
-        assertEquals(server.got.stream().map(Stand.Got::id).distinct().count(), 2L * FLEET_SIZE);
-        assertTrue(stand.figure("endpoint_links") <= 83, "more connections than descriptors allow");
-        long peakKibibytes = Files.readAllLines(Path.of("/proc/" + stand.process.pid() + "/status")).stream()
+        waitUntil("each endpoint has its message", 8000, () -> server.requests.size() == 2 * FLEET_SIZE);
+        assertEquals(server.requests.stream().map(RelayFixture.ReceivedRequest::id).distinct().count(),
+            2L * FLEET_SIZE);
+        assertTrue(fixture.statistic("endpoint_links") <= 83, "more connections than descriptors allow");
+        long peakKibibytes = Files.readAllLines(Path.of("/proc/" + fixture.process.pid() + "/status"))
+            .stream()
             .filter(line -> line.startsWith("VmHWM"))
             .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).sum();
         assertTrue(peakKibibytes < 128 * 1024, peakKibibytes + " KiB");
--- a/relay/src/test/java/yewpath/RestartTest.java
+++ b/relay/src/test/java/yewpath/RestartTest.java
@@ -2,9 +2,9 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.Stand.OK;
-import static yewpath.Stand.SILENCE;
-import static yewpath.Stand.until;
+import static yewpath.RelayFixture.OK;
+import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -31,7 +31,7 @@
  * Restarts of the process, after a kill or a shutdown: accepted messages, owed notices and possibly executed
  * calls must survive them.
  */
-public final class RestartTest extends Stand.Tests {
+public final class RestartTest extends RelayFixture.RelayTest {
     private static final ClockReading NOW = new ClockReading("boot", 40, 40);
 
     /**
@@ -40,24 +40,25 @@
      */
     @Test
     public void openMessagesAreDeliveredAfterARestart() throws Exception {
-        Stand.Server unreachable = new Stand.Server(request -> OK);
+        RelayFixture.StubServer unreachable = new RelayFixture.StubServer(request -> OK);
         unreachable.close();
-        stand.listed("e1", "127.0.0.1:" + unreachable.port(), 1);
-        stand.start();
-        assertEquals(stand.handIn("r1", "order", 1, 15000), 202);
-        assertEquals(stand.handIn("r2", "status", 1, 7900), 202);
-        stand.kill();
-        Stand.Server healthy = stand.endpoint(1, request -> OK);
-        stand.start();
-        until("both messages are delivered", 3000, () -> healthy.got.size() == 2);
+        fixture.listEndpoint("e1", "127.0.0.1:" + unreachable.port(), 1);
+        fixture.start();
+        assertEquals(fixture.submit("r1", "order", 1, 15000), 202);
+        assertEquals(fixture.submit("r2", "status", 1, 7900), 202);
+        fixture.kill();
+        RelayFixture.StubServer healthy = fixture.addEndpoint(1, request -> OK);
+        fixture.start();
+        waitUntil("both messages are delivered", 3000, () -> healthy.requests.size() == 2);
         Thread.sleep(300);
         assertTrue(
-            healthy.got.stream().anyMatch(call -> "r1".equals(call.id()) && call.body.equals("body of r1")));
-        stand.kill();
-        stand.start();
+            healthy.requests.stream()
+                .anyMatch(call -> "r1".equals(call.id()) && call.body.equals("body of r1")));
+        fixture.kill();
+        fixture.start();
         Thread.sleep(500);
-        assertEquals(healthy.got.size(), 2, "delivered messages were sent again");
-        assertTrue(stand.notices.isEmpty());
+        assertEquals(healthy.requests.size(), 2, "delivered messages were sent again");
+        assertTrue(fixture.notices.isEmpty());
     }
 
     /**
@@ -66,21 +67,21 @@
      */
     @Test
     public void restoredMessagesWaitForTheCurrentList() throws Exception {
-        Stand.Server drained = stand.endpoint("e1", 1, "plain", request -> SILENCE);
-        Stand.Server other = stand.endpoint("e2", 2, "plain", request -> OK);
-        stand.start();
-        assertEquals(stand.handIn("r1", "status", 1, 7900), 202);
-        until("the endpoint received the first attempt", 2000, () -> drained.got.size() == 1);
-        stand.kill();
+        RelayFixture.StubServer drained = fixture.addEndpoint("e1", 1, "plain", request -> NO_RESPONSE);
+        RelayFixture.StubServer other = fixture.addEndpoint("e2", 2, "plain", request -> OK);
+        fixture.start();
+        assertEquals(fixture.submit("r1", "status", 1, 7900), 202);
+        waitUntil("the endpoint received the first attempt", 2000, () -> drained.requests.size() == 1);
+        fixture.kill();
         // While no relay runs, the endpoint drains and another replaces it; discovery reports this late.
-        stand.newsAfter = 150;
-        stand.news = "{\"version\":2,\"full\":false,\"servers\":["
-            + stand.entry("e1", drained.address(), 1, "plain", "draining") + ","
-            + stand.entry("e3", other.address(), 1, "plain", "up") + "]}";
-        stand.start();
-        until("the message is delivered to the endpoint of the current list", 3000,
-            () -> other.got.size() == 1);
-        assertEquals(drained.got.size(), 1,
+        fixture.watchDelayMillis = 150;
+        fixture.initialWatchData = "{\"version\":2,\"full\":false,\"servers\":["
+            + fixture.listEntry("e1", drained.address(), 1, "plain", "draining") + ","
+            + fixture.listEntry("e3", other.address(), 1, "plain", "up") + "]}";
+        fixture.start();
+        waitUntil("the message is delivered to the endpoint of the current list", 3000,
+            () -> other.requests.size() == 1);
+        assertEquals(drained.requests.size(), 1,
             "a message was sent to an endpoint that drained before the start");
     }
 
@@ -90,15 +91,15 @@
      */
     @Test
     public void withoutDiscoveryTheStoredListIsUsed() throws Exception {
-        Stand.Server endpoint = stand.endpoint(1, request -> SILENCE);
-        stand.start();
-        assertEquals(stand.handIn("r1", "status", 1, 7900), 202);
-        until("the endpoint received the first attempt", 2000, () -> endpoint.got.size() == 1);
-        stand.kill();
-        endpoint.answer = request -> OK;
-        stand.newsAfter = -1;
-        stand.start();
-        until("the message is sent again", 5000, () -> endpoint.got.size() == 2);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
+        fixture.start();
+        assertEquals(fixture.submit("r1", "status", 1, 7900), 202);
+        waitUntil("the endpoint received the first attempt", 2000, () -> endpoint.requests.size() == 1);
+        fixture.kill();
+        endpoint.responder = request -> OK;
+        fixture.watchDelayMillis = -1;
+        fixture.start();
+        waitUntil("the message is sent again", 5000, () -> endpoint.requests.size() == 2);
     }
 
     /**
@@ -108,28 +109,31 @@
      */
     @Test
     public void messagesOfUnknownClassesGetOneAttempt() throws Exception {
-        Stand.Server endpoint = stand.endpoint(1, request -> SILENCE);
-        stand.closed(2);
-        stand.start();
-        assertEquals(stand.handIn("out", "status", 1, 30_000), 202);
-        until("the endpoint received the first attempt", 2000, () -> endpoint.got.size() == 1);
-        assertEquals(stand.handIn("untried", "order", 2, 30_000), 202);
-        assertEquals(stand.handIn("untold", "status", 2, 30_000), 202);
-        stand.kill();
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
+        fixture.listDrainingEndpoint(2);
+        fixture.start();
+        assertEquals(fixture.submit("out", "status", 1, 30_000), 202);
+        waitUntil("the endpoint received the first attempt", 2000, () -> endpoint.requests.size() == 1);
+        assertEquals(fixture.submit("untried", "order", 2, 30_000), 202);
+        assertEquals(fixture.submit("untold", "status", 2, 30_000), 202);
+        fixture.kill();
         for (String name : List.of("status", "order", "serial", "acme", "plain", "bundled", "z")) {
-            stand.renamed.put(name, "other-" + name);
+            fixture.renamedConfigNames.put(name, "other-" + name);
         }
-        Stand.Server renamedEndpoint = new Stand.Server(
+        RelayFixture.StubServer renamedEndpoint = new RelayFixture.StubServer(
             request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        stand.listed("e2", renamedEndpoint.address(), 2);
-        stand.start();
-        until("each message without an attempt is sent", 3000, () -> renamedEndpoint.got.size() == 2);
-        until("each of them fails after one attempt", 2000,
-            () -> stand.ended("untried", "given_up") && stand.ended("untold", "given_up"));
-        until("the message whose outcome is unknown fails", 2000, () -> stand.ended("out", "given_up"));
-        assertEquals(endpoint.got.size() + renamedEndpoint.got.size(), 3);
-        assertEquals(stand.handIn("fresh", "other-status", 2, 7900), 202);
-        assertEquals(stand.handIn("stale", "status", 2, 7900), 404,
+        fixture.listEndpoint("e2", renamedEndpoint.address(), 2);
+        fixture.start();
+        waitUntil("each message without an attempt is sent", 3000,
+            () -> renamedEndpoint.requests.size() == 2);
+        waitUntil("each of them fails after one attempt", 2000,
+            () -> fixture.hasOutcomeNotice("untried", "given_up")
+                && fixture.hasOutcomeNotice("untold", "given_up"));
+        waitUntil("the message whose outcome is unknown fails", 2000,
+            () -> fixture.hasOutcomeNotice("out", "given_up"));
+        assertEquals(endpoint.requests.size() + renamedEndpoint.requests.size(), 3);
+        assertEquals(fixture.submit("fresh", "other-status", 2, 7900), 202);
+        assertEquals(fixture.submit("stale", "status", 2, 7900), 404,
             "a message class of the earlier configuration was accepted");
         renamedEndpoint.close();
     }
@@ -140,27 +144,30 @@
      */
     @Test
     public void nextMessageOfAKeyWaitsUntilTheFailureAheadIsAcknowledged() throws Exception {
-        stand.memoryMs = 1_000;
-        Stand.Server endpoint = stand.endpoint(1, request -> SILENCE);
-        stand.start();
-        assertEquals(stand.ask(messageWithKey("first", 30_000)).status(), 202);
-        until("the endpoint received the first attempt", 2000, () -> endpoint.got.size() == 1);
-        assertEquals(stand.ask(messageWithKey("second", 30_000)).status(), 202);
-        stand.kill();
-        endpoint.answer = request -> OK;
-        stand.noticeStatus = 0;
-        Stand.pause(1_000);
-        stand.start();
-        until("the notice was sent and repeated", 4000, () -> stand.discovery.posts().size() >= 3);
-        assertEquals(endpoint.got.size(), 1, "the second message was sent before the first was completed");
-        stand.noticeStatus = 204;
-        until("the second message is sent after the acknowledgement", 4000, () -> endpoint.got.size() == 2);
-        assertEquals(endpoint.got.get(1).id(), "second");
-        assertTrue(stand.ended("first", "given_up"));
+        fixture.deduplicationMillis = 1_000;
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
+        fixture.start();
+        assertEquals(fixture.exchange(messageWithKey("first", 30_000)).status(), 202);
+        waitUntil("the endpoint received the first attempt", 2000, () -> endpoint.requests.size() == 1);
+        assertEquals(fixture.exchange(messageWithKey("second", 30_000)).status(), 202);
+        fixture.kill();
+        endpoint.responder = request -> OK;
+        fixture.noticeStatus = 0;
+        RelayFixture.pause(1_000);
+        fixture.start();
+        waitUntil("the notice was sent and repeated", 4000,
+            () -> fixture.discovery.postRequests().size() >= 3);
+        assertEquals(endpoint.requests.size(), 1,
+            "the second message was sent before the first was completed");
+        fixture.noticeStatus = 204;
+        waitUntil("the second message is sent after the acknowledgement", 4000,
+            () -> endpoint.requests.size() == 2);
+        assertEquals(endpoint.requests.get(1).id(), "second");
+        assertTrue(fixture.hasOutcomeNotice("first", "given_up"));
     }
 
     private static String messageWithKey(String id, int withinMillis) {
-        return Stand.envelope(id, "serial", 1, withinMillis, "x").replaceFirst("\r\n",
+        return RelayFixture.messageRequest(id, "serial", 1, withinMillis, "x").replaceFirst("\r\n",
             "\r\nAffinity-Key: doc\r\n");
     }
 
@@ -170,19 +177,19 @@
      */
     @Test
     public void callInProgressAtAKillMayHaveBeenExecuted() throws Exception {
-        Stand.Server endpoint = stand.endpoint(1, request -> SILENCE);
-        stand.start();
-        stand.handIn("k1", "order", 1, 15000);
-        stand.handIn("k2", "status", 1, 7900);
-        until("both attempts arrive", 2000, () -> endpoint.got.size() == 2);
-        stand.kill();
-        endpoint.answer = request -> OK;
-        stand.start();
-        until("the at-most-once message fails", 2000, () -> stand.ended("k1", "given_up"));
-        until("the idempotent message is sent again", 2000, () -> endpoint.got.size() == 3);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
+        fixture.start();
+        fixture.submit("k1", "order", 1, 15000);
+        fixture.submit("k2", "status", 1, 7900);
+        waitUntil("both attempts arrive", 2000, () -> endpoint.requests.size() == 2);
+        fixture.kill();
+        endpoint.responder = request -> OK;
+        fixture.start();
+        waitUntil("the at-most-once message fails", 2000, () -> fixture.hasOutcomeNotice("k1", "given_up"));
+        waitUntil("the idempotent message is sent again", 2000, () -> endpoint.requests.size() == 3);
         Thread.sleep(300);
-        assertEquals(endpoint.got.stream().filter(call -> "k1".equals(call.id())).count(), 1);
-        assertEquals(stand.notices.size(), 1);
+        assertEquals(endpoint.requests.stream().filter(call -> "k1".equals(call.id())).count(), 1);
+        assertEquals(fixture.notices.size(), 1);
     }
 
     /**
@@ -191,17 +198,17 @@
      */
     @Test
     public void refusedAttemptLeavesNoUncertainty() throws Exception {
-        Stand.Server endpoint = stand.endpoint(1,
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1,
             request -> "HTTP/1.1 429 X\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
-        stand.start();
-        stand.handIn("k1", "order", 1, 15000);
-        until("the attempt is refused", 2000, () -> endpoint.got.size() == 1);
+        fixture.start();
+        fixture.submit("k1", "order", 1, 15000);
+        waitUntil("the attempt is refused", 2000, () -> endpoint.requests.size() == 1);
         Thread.sleep(100);
-        stand.kill();
-        endpoint.answer = request -> OK;
-        stand.start();
-        until("the message is sent again", 4000, () -> endpoint.got.size() == 2);
-        assertTrue(stand.notices.isEmpty());
+        fixture.kill();
+        endpoint.responder = request -> OK;
+        fixture.start();
+        waitUntil("the message is sent again", 4000, () -> endpoint.requests.size() == 2);
+        assertTrue(fixture.notices.isEmpty());
     }
 
     /**
@@ -211,26 +218,27 @@
     @Test
     public void attemptOfARestoredMessageCanBeCancelled() throws Exception {
         String overloaded = "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n";
-        Stand.Server endpoint = stand.endpoint(1, request -> overloaded);
-        Stand.Server other = stand.endpoint(2, request -> SILENCE);
-        Stand.Server healthy = stand.endpoint(3, request -> OK);
-        stand.start();
-        stand.handIn("k1", "order", 1, 18000);
-        until("the attempt is refused", 2000, () -> endpoint.got.size() == 1);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> overloaded);
+        RelayFixture.StubServer other = fixture.addEndpoint(2, request -> NO_RESPONSE);
+        RelayFixture.StubServer healthy = fixture.addEndpoint(3, request -> OK);
+        fixture.start();
+        fixture.submit("k1", "order", 1, 18000);
+        waitUntil("the attempt is refused", 2000, () -> endpoint.requests.size() == 1);
         Thread.sleep(100);
-        stand.kill();
-        endpoint.answer = request -> SILENCE;
-        stand.start();
-        until("the message is sent again", 4000, () -> endpoint.got.size() == 2);
+        fixture.kill();
+        endpoint.responder = request -> NO_RESPONSE;
+        fixture.start();
+        waitUntil("the message is sent again", 4000, () -> endpoint.requests.size() == 2);
         for (int i = 0; i < 6; i++) {
-            stand.handIn("a" + i, "order", 1, 18000);
-            stand.handIn("b" + i, "order", 2, 18000);
+            fixture.submit("a" + i, "order", 1, 18000);
+            fixture.submit("b" + i, "order", 2, 18000);
         }
-        until("all call slots are in use", 6000, () -> endpoint.got.size() + other.got.size() >= 9);
-        stand.handIn("c", "status", 3, 7900);
-        until("the oldest call is cancelled", 8000,
-            () -> stand.ended("k1", "given_up") && healthy.got.size() == 1);
-        until("its connection is closed", 1000, () -> !endpoint.got.get(1).open);
+        waitUntil("all call slots are in use", 6000,
+            () -> endpoint.requests.size() + other.requests.size() >= 9);
+        fixture.submit("c", "status", 3, 7900);
+        waitUntil("the oldest call is cancelled", 8000,
+            () -> fixture.hasOutcomeNotice("k1", "given_up") && healthy.requests.size() == 1);
+        waitUntil("its connection is closed", 1000, () -> !endpoint.requests.get(1).open);
     }
 
     /**
@@ -239,22 +247,25 @@
      */
     @Test
     public void orderOfAKeySurvivesARestart() throws Exception {
-        stand.operator = "[log]\nlevel = \"debug\"\n";
-        Stand.Server endpoint = stand.endpoint(1, request -> SILENCE);
-        stand.start();
+        fixture.operatorConfig = "[log]\nlevel = \"debug\"\n";
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
+        fixture.start();
         for (int i = 1; i <= 3; i++) {
-            assertEquals(stand.ask(Stand.envelope("s" + i, "serial", 1, 15000, "x").replace("Tenant:",
-                "Affinity-Key: 5c0f6e1a00000001\r\nTenant:")).status(), 202);
+            assertEquals(fixture
+                .exchange(RelayFixture.messageRequest("s" + i, "serial", 1, 15000, "x").replace("Tenant:",
+                    "Affinity-Key: 5c0f6e1a00000001\r\nTenant:"))
+                .status(), 202);
         }
-        until("the first message arrives", 2000, () -> endpoint.got.size() == 1);
+        waitUntil("the first message arrives", 2000, () -> endpoint.requests.size() == 1);
         Thread.sleep(300);
-        assertEquals(endpoint.got.size(), 1);
-        stand.kill();
-        endpoint.answer = request -> OK;
-        stand.start();
-        until("all messages are delivered", 5000, () -> endpoint.got.size() == 4);
-        assertEquals(endpoint.got.stream().map(Stand.Got::id).toList(), List.of("s1", "s1", "s2", "s3"));
-        assertEquals(endpoint.got.get(3).headers.get("affinity-key"), "5c0f6e1a00000001");
+        assertEquals(endpoint.requests.size(), 1);
+        fixture.kill();
+        endpoint.responder = request -> OK;
+        fixture.start();
+        waitUntil("all messages are delivered", 5000, () -> endpoint.requests.size() == 4);
+        assertEquals(endpoint.requests.stream().map(RelayFixture.ReceivedRequest::id).toList(),
+            List.of("s1", "s1", "s2", "s3"));
+        assertEquals(endpoint.requests.get(3).headers.get("affinity-key"), "5c0f6e1a00000001");
         // Measured by the relay's log from when it restored the key, however late the first attempt was sent.
         assertTrue(millisOfLogLine("envelope.shot", "s2") - millisOfLogLine("envelope.restored", "s1") >= 300,
             "the key did not pause");
@@ -262,7 +273,7 @@
 
     /** Returns the Unix time in milliseconds of the first log line with this event and message id. */
     private long millisOfLogLine(String event, String id) throws IOException {
-        String logLine = stand.log().stream()
+        String logLine = fixture.logLines().stream()
             .filter(line -> line.contains(event) && line.contains('"' + id + '"'))
             .findFirst().orElseThrow();
         return LocalDateTime.parse(logLine.substring(0, 23).replace(' ', 'T')).toInstant(ZoneOffset.UTC)
@@ -275,25 +286,29 @@
      */
     @Test
     public void idempotencyKeySurvivesARestart() throws Exception {
-        Stand.Server endpoint = stand.endpoint("e1", 1, "plain", request -> SILENCE);
-        Stand.Server batchEndpoint = stand.endpoint("e2", 2, "bundled", request -> SILENCE);
-        stand.start();
+        RelayFixture.StubServer endpoint = fixture.addEndpoint("e1", 1, "plain", request -> NO_RESPONSE);
+        RelayFixture.StubServer batchEndpoint = fixture.addEndpoint("e2", 2, "bundled",
+            request -> NO_RESPONSE);
+        fixture.start();
         String withIdempotencyKey = "Idempotency-Key: 0268084139284ccf896de4ac5653e423\r\nTenant:";
         assertEquals(
-            stand.ask(Stand.envelope("t1", "serial", 1, 15000, "x").replace("Tenant:", withIdempotencyKey))
+            fixture
+                .exchange(RelayFixture.messageRequest("t1", "serial", 1, 15000, "x").replace("Tenant:",
+                    withIdempotencyKey))
                 .status(),
             202);
-        until("the endpoint received the first attempt", 2000, () -> endpoint.got.size() == 1);
-        stand.kill();
-        endpoint.answer = request -> OK;
-        stand.start();
-        until("the message is sent again", 5000, () -> endpoint.got.size() == 2);
+        waitUntil("the endpoint received the first attempt", 2000, () -> endpoint.requests.size() == 1);
+        fixture.kill();
+        endpoint.responder = request -> OK;
+        fixture.start();
+        waitUntil("the message is sent again", 5000, () -> endpoint.requests.size() == 2);
         assertEquals(
-            endpoint.got.stream().map(request -> request.headers.get("idempotency-key")).distinct().toList(),
+            endpoint.requests.stream().map(request -> request.headers.get("idempotency-key")).distinct()
+                .toList(),
             List.of("0268084139284ccf896de4ac5653e423"), "the idempotency key was changed");
-        assertEquals(stand.handIn("first", "status", 2, 7900), 202);
-        until("the endpoint received a call", 2000, () -> batchEndpoint.got.size() == 1);
-        assertTrue(batchEndpoint.got.get(0).headers.get("idempotency-key") == null,
+        assertEquals(fixture.submit("first", "status", 2, 7900), 202);
+        waitUntil("the endpoint received a call", 2000, () -> batchEndpoint.requests.size() == 1);
+        assertTrue(batchEndpoint.requests.get(0).headers.get("idempotency-key") == null,
             "an idempotency key that no client gave");
     }
 
@@ -303,20 +318,20 @@
      */
     @Test
     public void unacknowledgedNoticeIsSentAfterARestart() throws Exception {
-        stand.endpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        stand.noticeStatus = 500;
-        stand.start();
-        stand.handIn("n1", "order", 1, 5000);
-        until("a notice is sent", 2000, () -> stand.discovery.posts().size() > 0);
-        stand.kill();
-        stand.noticeStatus = 204;
-        stand.start();
-        until("the notice is acknowledged", 2000, () -> stand.ended("n1", "given_up"));
+        fixture.addEndpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.noticeStatus = 500;
+        fixture.start();
+        fixture.submit("n1", "order", 1, 5000);
+        waitUntil("a notice is sent", 2000, () -> fixture.discovery.postRequests().size() > 0);
+        fixture.kill();
+        fixture.noticeStatus = 204;
+        fixture.start();
+        waitUntil("the notice is acknowledged", 2000, () -> fixture.hasOutcomeNotice("n1", "given_up"));
         Thread.sleep(300);
-        stand.kill();
-        stand.start();
+        fixture.kill();
+        fixture.start();
         Thread.sleep(300);
-        assertEquals(stand.notices.size(), 1);
+        assertEquals(fixture.notices.size(), 1);
     }
 
     /**
@@ -325,13 +340,13 @@
      */
     @Test
     public void messageThatExpiredMeanwhileHasItsOutcomeAtOnce() throws Exception {
-        stand.closed(1);
-        stand.start();
-        stand.handIn("e1", "status", 1, 900);
-        stand.kill();
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
+        fixture.submit("e1", "status", 1, 900);
+        fixture.kill();
         Thread.sleep(900);
-        stand.start();
-        until("the message is rejected", 1000, () -> stand.ended("e1", "handed_back"));
+        fixture.start();
+        waitUntil("the message is rejected", 1000, () -> fixture.hasOutcomeNotice("e1", "handed_back"));
     }
 
     /**
@@ -340,33 +355,35 @@
      */
     @Test
     public void shutdownCompletesCallsAndKeepsOpenMessages() throws Exception {
-        Stand.Server endpoint = stand.endpoint(1, request -> {
-            Stand.pause(1000);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> {
+            RelayFixture.pause(1000);
             return OK;
         });
-        stand.closed(9);
-        stand.start();
-        try (Socket kept = stand.connect()) {
-            assertEquals(Stand.ask(kept, Stand.envelope("s1", "order", 1, 9000, "x")).status(), 202);
-            assertEquals(stand.handIn("s2", "status", 9, 7900), 202);
-            until("the call is in progress", 2000, () -> endpoint.got.size() == 1);
+        fixture.listDrainingEndpoint(9);
+        fixture.start();
+        try (Socket kept = fixture.connect()) {
+            assertEquals(RelayFixture.exchange(kept, RelayFixture.messageRequest("s1", "order", 1, 9000, "x"))
+                .status(), 202);
+            assertEquals(fixture.submit("s2", "status", 9, 7900), 202);
+            waitUntil("the call is in progress", 2000, () -> endpoint.requests.size() == 1);
             long startNanos = System.nanoTime();
-            stand.process.destroy();
+            fixture.process.destroy();
             Thread.sleep(150);
-            assertEquals(stand.ask("GET /health/ready HTTP/1.1\r\n\r\n").status(), 503);
-            Stand.Answer refused = Stand.ask(kept, Stand.envelope("s3", "order", 1, 9000, "x"));
+            assertEquals(fixture.exchange("GET /health/ready HTTP/1.1\r\n\r\n").status(), 503);
+            RelayFixture.Response refused = RelayFixture.exchange(kept,
+                RelayFixture.messageRequest("s3", "order", 1, 9000, "x"));
             assertEquals(refused.status(), 503);
             assertEquals(refused.headers().get("connection"), "close");
-            assertTrue(stand.process.waitFor(3500, TimeUnit.MILLISECONDS));
+            assertTrue(fixture.process.waitFor(3500, TimeUnit.MILLISECONDS));
             assertTrue(System.nanoTime() - startNanos < 3_500_000_000L);
-            assertEquals(stand.process.exitValue(), 0);
+            assertEquals(fixture.process.exitValue(), 0);
         }
-        Stand.Server other = stand.endpoint(9, request -> OK);
-        stand.start();
-        until("the remaining message is delivered", 3000, () -> other.got.size() == 1);
+        RelayFixture.StubServer other = fixture.addEndpoint(9, request -> OK);
+        fixture.start();
+        waitUntil("the remaining message is delivered", 3000, () -> other.requests.size() == 1);
         Thread.sleep(200);
-        assertEquals(endpoint.got.size(), 1);
-        assertTrue(stand.notices.isEmpty(), "" + stand.notices);
+        assertEquals(endpoint.requests.size(), 1);
+        assertTrue(fixture.notices.isEmpty(), "" + fixture.notices);
     }
 
     /**
@@ -376,48 +393,51 @@
     @Test
     public void killAtAnyMomentLosesNoMessageAndRepeatsNoAtMostOnceMessage() throws Exception {
         // With a small disk limit the ledger is rewritten often between the kills.
-        stand.limits = ",\"disk_mb\":0.12";
-        Function<Stand.Got, String> slow = request -> {
-            Stand.pause(5 + Math.floorMod(request.id().hashCode(), 60));
+        fixture.extraLimits = ",\"disk_mb\":0.12";
+        Function<RelayFixture.ReceivedRequest, String> slow = request -> {
+            RelayFixture.pause(5 + Math.floorMod(request.id().hashCode(), 60));
             return OK;
         };
-        Stand.Server one = stand.endpoint(1, slow);
-        Stand.Server two = stand.endpoint(2, slow);
-        stand.start();
+        RelayFixture.StubServer one = fixture.addEndpoint(1, slow);
+        RelayFixture.StubServer two = fixture.addEndpoint(2, slow);
+        fixture.start();
         Set<String> accepted = ConcurrentHashMap.newKeySet();
         AtomicBoolean running = new AtomicBoolean(true);
         Thread client = new Thread(() -> {
             for (int i = 0; running.get(); i++) {
                 String id = "i" + i;
                 try {
-                    if (stand.ask(Stand.envelope(id, i % 2 == 0 ? "order" : "status", 1 + i / 2 % 2, 7000,
-                        "y".repeat(1500))).status() == 202) {
+                    if (fixture.exchange(
+                        RelayFixture.messageRequest(id, i % 2 == 0 ? "order" : "status", 1 + i / 2 % 2, 7000,
+                            "y".repeat(1500)))
+                        .status() == 202) {
                         accepted.add(id);
                     }
                 } catch (IOException down) {
                     continue;
                 } finally {
-                    Stand.pause(4);
+                    RelayFixture.pause(4);
                 }
             }
         });
         client.start();
         for (int pause : new int[]{420, 133, 677, 251, 319}) {
             Thread.sleep(pause);
-            stand.kill();
-            stand.start();
+            fixture.kill();
+            fixture.start();
         }
         Thread.sleep(300);
         running.set(false);
         client.join();
         assertTrue(accepted.size() > 50, accepted.size() + " accepted");
-        until("each accepted message has its outcome", 9000,
-            () -> accepted.stream().allMatch(id -> stand.ended(id, "outcome")
-                || one.got.stream().anyMatch(call -> id.equals(call.id()))
-                || two.got.stream().anyMatch(call -> id.equals(call.id()))));
-        until("no message is open and no notice unacknowledged", 9000,
-            () -> stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
-        List<Stand.Got> calls = Stream.concat(one.got.stream(), two.got.stream()).toList();
+        waitUntil("each accepted message has its outcome", 9000,
+            () -> accepted.stream().allMatch(id -> fixture.hasOutcomeNotice(id, "outcome")
+                || one.requests.stream().anyMatch(call -> id.equals(call.id()))
+                || two.requests.stream().anyMatch(call -> id.equals(call.id()))));
+        waitUntil("no message is open and no notice unacknowledged", 9000,
+            () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
+        List<RelayFixture.ReceivedRequest> calls = Stream.concat(one.requests.stream(), two.requests.stream())
+            .toList();
         for (String id : accepted) {
             long sent = calls.stream().filter(call -> id.equals(call.id())).count();
             boolean atMostOnce = Integer.parseInt(id.substring(1)) % 2 == 0;
@@ -431,23 +451,24 @@
      */
     @Test
     public void fullLedgerRefusesNewMessagesAndKeepsOpenOnes() throws Exception {
-        stand.limits = ",\"disk_mb\":0.3";
-        stand.closed(1);
-        stand.start();
+        fixture.extraLimits = ",\"disk_mb\":0.3";
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
         int accepted = 0;
         int refused = 0;
         for (int i = 0; i < 40; i++) {
-            Stand.Answer answer = stand.ask(Stand.envelope("f" + i, "status", 1, 7900, "z".repeat(20_000)));
+            RelayFixture.Response answer = fixture
+                .exchange(RelayFixture.messageRequest("f" + i, "status", 1, 7900, "z".repeat(20_000)));
             accepted += answer.status() == 202 ? 1 : 0;
             refused += answer.status() == 503 && "1.000".equals(answer.headers().get("retry-after")) ? 1 : 0;
             assertTrue(stateFolderBytes() <= 0.3 * (1 << 20), stateFolderBytes() + " bytes on disk");
         }
         assertTrue(accepted >= 4 && refused >= 20, accepted + " accepted, " + refused + " refused");
-        Stand.Server healthy = new Stand.Server(request -> OK);
-        stand.tell(true, stand.entry("e1", healthy.address(), 1, "plain", "up"));
+        RelayFixture.StubServer healthy = new RelayFixture.StubServer(request -> OK);
+        fixture.publish(true, fixture.listEntry("e1", healthy.address(), 1, "plain", "up"));
         int expected = accepted;
-        until("the open messages are delivered", 7000, () -> healthy.got.size() == expected);
-        assertEquals(stand.handIn("again", "status", 1, 5000), 202);
+        waitUntil("the open messages are delivered", 7000, () -> healthy.requests.size() == expected);
+        assertEquals(fixture.submit("again", "status", 1, 5000), 202);
         healthy.close();
     }
 
@@ -457,26 +478,26 @@
      */
     @Test
     public void manyMessagesInOneRoundStayWithinTheDiskLimit() throws Exception {
-        stand.limits = ",\"disk_mb\":0.3";
-        stand.closed(1);
-        stand.start();
+        fixture.extraLimits = ",\"disk_mb\":0.3";
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
         List<Socket> sockets = new ArrayList<>();
         try {
             // The relay is suspended, so that it finds all of them in one round.
             for (int i = 0; i < 40; i++) {
-                sockets.add(stand.connect());
-                Stand.ask(sockets.get(i), "GET /health/live HTTP/1.1\r\n\r\n");
+                sockets.add(fixture.connect());
+                RelayFixture.exchange(sockets.get(i), "GET /health/live HTTP/1.1\r\n\r\n");
             }
-            stand.signal("STOP");
+            fixture.signal("STOP");
             for (int i = 0; i < 40; i++) {
                 sockets.get(i).getOutputStream()
-                    .write(Stand.envelope("f" + i, "status", 1, 7900, "z".repeat(20_000))
+                    .write(RelayFixture.messageRequest("f" + i, "status", 1, 7900, "z".repeat(20_000))
                         .getBytes(StandardCharsets.ISO_8859_1));
             }
-            stand.signal("CONT");
+            fixture.signal("CONT");
             int accepted = 0;
             for (Socket socket : sockets) {
-                accepted += Stand.answer(socket).status() == 202 ? 1 : 0;
+                accepted += RelayFixture.readResponse(socket).status() == 202 ? 1 : 0;
             }
             assertTrue(accepted >= 4 && stateFolderBytes() <= 0.3 * (1 << 20),
                 accepted + " accepted, " + stateFolderBytes() + " bytes");
@@ -489,7 +510,7 @@
 
     /** Returns the size of the files in the state folder, each rounded up to blocks of 512 bytes. */
     private long stateFolderBytes() throws Exception {
-        try (Stream<Path> files = Files.list(stand.folder.resolve("state"))) {
+        try (Stream<Path> files = Files.list(fixture.directory.resolve("state"))) {
             return files.mapToLong(file -> (file.toFile().length() + 511) / 512 * 512).sum();
         }
     }
@@ -500,7 +521,7 @@
      */
     @Test
     public void ledgerTruncatedAtAnyByteOpens() throws Exception {
-        Path folder = stand.folder.resolve("cut");
+        Path folder = fixture.directory.resolve("cut");
         Ledger ledger = new Ledger(folder, 400_000, 600_000, 512, NOW);
         int clockLength = (int) Files.size(folder.resolve("ledger"));
         LedgerEntry first = ledger.createEntry("i1", "order", null, "k", "t-1", "7", 99,
@@ -548,42 +569,47 @@
      */
     @Test
     public void reloadMovesDiscoveryAndNothingElse() throws Exception {
-        Stand.Server slow = stand.endpoint(1, request -> {
-            Stand.pause(700);
+        RelayFixture.StubServer slow = fixture.addEndpoint(1, request -> {
+            RelayFixture.pause(700);
             return OK;
         });
-        stand.endpoint(2, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        stand.environment.put("NODE_DISCOVERY", stand.discovery.address());
-        stand.noticeStatus = 0;
-        stand.closed(9);
-        stand.start();
-        try (Socket client = stand.connect()) {
-            assertEquals(Stand.ask(client, Stand.envelope("m1", "order", 1, 9000, "x")).status(), 202);
-            assertEquals(Stand.ask(client, Stand.envelope("m2", "status", 9, 7900, "x")).status(), 202);
-            stand.handIn("m3", "order", 2, 9000);
-            until("the old address does not respond to a notice", 2000,
-                () -> stand.discovery.posts().size() == 1);
-            stand.reload("{\"discovery\":");
-            until("the relay logs that it refused the invalid file", 2000,
-                () -> Files.readString(stand.folder.resolve("log")).contains("relay.reload_refused"));
-            assertEquals(stand.watched.size(), 1, "an invalid file took effect");
-            Stand.Server oldDiscovery = stand.discovery;
-            Stand.Server newDiscovery = stand.moveDiscovery();
-            stand.noticeStatus = 204;
-            stand.reload(stand.config());
-            until("the list is followed at the new address", 1000, () -> stand.watched.size() == 2);
-            assertTrue(stand.watched.get(1).contains("since=1"), "" + stand.watched);
-            until("notices go to the new address", 1000,
-                () -> stand.ended("m3", "given_up") && newDiscovery.posts().size() > 0);
-            int oldRequestCount = oldDiscovery.got.size();
-            Stand.Server healthy = new Stand.Server(request -> OK);
-            stand.tell(false, stand.entry("e9", healthy.address(), 9, "plain", "up"));
-            until("the open message is delivered to the endpoint of the new list", 2000,
-                () -> healthy.got.size() == 1);
-            assertEquals(Stand.ask(client, Stand.envelope("m4", "status", 9, 7900, "x")).status(), 202);
-            until("the call in progress is completed", 2000, () -> stand.figure("open") == 0);
-            assertEquals(slow.got.size() + " " + slow.connections.get(), "1 1");
-            assertEquals(oldDiscovery.got.size(), oldRequestCount, "the old address still receives requests");
+        fixture.addEndpoint(2, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.environment.put("NODE_DISCOVERY", fixture.discovery.address());
+        fixture.noticeStatus = 0;
+        fixture.listDrainingEndpoint(9);
+        fixture.start();
+        try (Socket client = fixture.connect()) {
+            assertEquals(RelayFixture
+                .exchange(client, RelayFixture.messageRequest("m1", "order", 1, 9000, "x")).status(), 202);
+            assertEquals(RelayFixture
+                .exchange(client, RelayFixture.messageRequest("m2", "status", 9, 7900, "x")).status(), 202);
+            fixture.submit("m3", "order", 2, 9000);
+            waitUntil("the old address does not respond to a notice", 2000,
+                () -> fixture.discovery.postRequests().size() == 1);
+            fixture.reload("{\"discovery\":");
+            waitUntil("the relay logs that it refused the invalid file", 2000,
+                () -> Files.readString(fixture.directory.resolve("log")).contains("relay.reload_refused"));
+            assertEquals(fixture.watchRequests.size(), 1, "an invalid file took effect");
+            RelayFixture.StubServer oldDiscovery = fixture.discovery;
+            RelayFixture.StubServer newDiscovery = fixture.replaceDiscovery();
+            fixture.noticeStatus = 204;
+            fixture.reload(fixture.config());
+            waitUntil("the list is followed at the new address", 1000,
+                () -> fixture.watchRequests.size() == 2);
+            assertTrue(fixture.watchRequests.get(1).contains("since=1"), "" + fixture.watchRequests);
+            waitUntil("notices go to the new address", 1000,
+                () -> fixture.hasOutcomeNotice("m3", "given_up") && newDiscovery.postRequests().size() > 0);
+            int oldRequestCount = oldDiscovery.requests.size();
+            RelayFixture.StubServer healthy = new RelayFixture.StubServer(request -> OK);
+            fixture.publish(false, fixture.listEntry("e9", healthy.address(), 9, "plain", "up"));
+            waitUntil("the open message is delivered to the endpoint of the new list", 2000,
+                () -> healthy.requests.size() == 1);
+            assertEquals(RelayFixture
+                .exchange(client, RelayFixture.messageRequest("m4", "status", 9, 7900, "x")).status(), 202);
+            waitUntil("the call in progress is completed", 2000, () -> fixture.statistic("open") == 0);
+            assertEquals(slow.requests.size() + " " + slow.connections.get(), "1 1");
+            assertEquals(oldDiscovery.requests.size(), oldRequestCount,
+                "the old address still receives requests");
             healthy.close();
             oldDiscovery.close();
         }
@@ -595,18 +621,19 @@
      */
     @Test
     public void delayedNoticeIsSentAtOnceToANewAddress() throws Exception {
-        stand.operator = "[discovery]\nretry_first = \"30 s\"\nretry_most = \"30 s\"\n";
-        stand.endpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        stand.noticeStatus = 500;
-        stand.start();
-        stand.handIn("n1", "order", 1, 9000);
-        until("the retry delay has begun", 2000, () -> stand.hasLogged("notice.unheard"));
-        Stand.Server oldDiscovery = stand.discovery;
-        stand.moveDiscovery();
-        stand.noticeStatus = 204;
-        stand.reload(stand.config());
-        until("the notice is sent to the new address", 3000, () -> stand.ended("n1", "given_up"));
-        assertEquals(oldDiscovery.posts().size(), 1);
+        fixture.operatorConfig = "[discovery]\nretry_first = \"30 s\"\nretry_most = \"30 s\"\n";
+        fixture.addEndpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.noticeStatus = 500;
+        fixture.start();
+        fixture.submit("n1", "order", 1, 9000);
+        waitUntil("the retry delay has begun", 2000, () -> fixture.hasLogged("notice.unheard"));
+        RelayFixture.StubServer oldDiscovery = fixture.discovery;
+        fixture.replaceDiscovery();
+        fixture.noticeStatus = 204;
+        fixture.reload(fixture.config());
+        waitUntil("the notice is sent to the new address", 3000,
+            () -> fixture.hasOutcomeNotice("n1", "given_up"));
+        assertEquals(oldDiscovery.postRequests().size(), 1);
         oldDiscovery.close();
     }
 
@@ -616,13 +643,13 @@
      */
     @Test
     public void heapFollowsTheConfiguredMemory() throws Exception {
-        Path java = Files.writeString(stand.folder.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
+        Path java = Files.writeString(fixture.directory.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
         assertTrue(java.toFile().setExecutable(true));
         for (int memoryMegabytes : new int[]{192, 96}) {
-            Path config = Files.writeString(stand.folder.resolve("c.json"),
-                stand.config().replace(":192", ": " + memoryMegabytes));
+            Path config = Files.writeString(fixture.directory.resolve("c.json"),
+                fixture.config().replace(":192", ": " + memoryMegabytes));
             ProcessBuilder run = new ProcessBuilder("sh", "../deploy/run.sh");
-            run.environment().put("PATH", stand.folder + ":" + System.getenv("PATH"));
+            run.environment().put("PATH", fixture.directory + ":" + System.getenv("PATH"));
             run.environment().put("NODE_CONFIG", config.toString());
             String flags = new String(run.start().getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(flags.contains("-Xmx" + memoryMegabytes * 2 / 5 + "m ") && flags.contains("serve"),
@@ -636,20 +663,20 @@
      */
     @Test
     public void invalidConfigurationEndsWithOneLine() throws Exception {
-        String validConfig = stand.config();
+        String validConfig = fixture.config();
         for (String invalidConfig : new String[]{"{", validConfig.replace("8c1f30d27a5be964", "no"),
             validConfig.replace("\"listen\"", "\"l\""),
             validConfig.replace("request_classes", "classes"),
             validConfig.replace("\"disk_mb\":3", "\"disk_mb\":\"much\""),
             validConfig.replace("\"version\":1,", ""),
-            validConfig.replace(Stand.RELAY + ":" + stand.port, "nowhere")}) {
-            Path file = Files.writeString(stand.folder.resolve("bad.json"), invalidConfig);
-            Process process = Stand.yewpath("serve", "--config", file.toString()).start();
+            validConfig.replace(RelayFixture.RELAY_ADDRESS + ":" + fixture.port, "nowhere")}) {
+            Path file = Files.writeString(fixture.directory.resolve("bad.json"), invalidConfig);
+            Process process = RelayFixture.yewpathCommand("serve", "--config", file.toString()).start();
             String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(process.waitFor() != 0, invalidConfig);
             assertEquals(output.lines().count(), 1, output);
         }
-        Process version = Stand.yewpath("version").start();
+        Process version = RelayFixture.yewpathCommand("version").start();
         assertTrue(new String(version.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
             .startsWith("yewpath"));
     }
--- a/relay/src/test/java/yewpath/StateFolderTest.java
+++ b/relay/src/test/java/yewpath/StateFolderTest.java
@@ -5,9 +5,9 @@
 import static org.testng.Assert.assertTrue;
 import static yewpath.FaultShim.EIO;
 import static yewpath.FaultShim.ENOSPC;
-import static yewpath.Stand.OK;
-import static yewpath.Stand.SILENCE;
-import static yewpath.Stand.until;
+import static yewpath.RelayFixture.OK;
+import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -25,7 +25,7 @@
  * Failures of the state folder, which outlives the process: it can't be written or read, contains unexpected
  * files, or is replaced.
  */
-public final class StateFolderTest extends Stand.Tests {
+public final class StateFolderTest extends RelayFixture.RelayTest {
     private static final String REFUSED = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
 
     @DataProvider
@@ -42,39 +42,41 @@
     @Test(dataProvider = "writeFaults")
     public void temporaryWriteFailuresLoseNoMessageAndEndNoProcess(String fault, String furtherFault)
         throws Exception {
-        FaultShim shim = new FaultShim(stand);
+        FaultShim shim = new FaultShim(fixture);
         Set<String> delivered = ConcurrentHashMap.newKeySet();
-        Stand.Server endpoint = stand.endpoint(1, request -> {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> {
             delivered.add(request.id());
             return OK;
         });
-        stand.closed(2);
-        stand.start();
+        fixture.listDrainingEndpoint(2);
+        fixture.start();
         Set<String> accepted = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 5; i++) {
-            assertEquals(stand.handIn("before" + i, "order", 2, 15_000), 202);
+            assertEquals(fixture.submit("before" + i, "order", 2, 15_000), 202);
             accepted.add("before" + i);
         }
-        shim.fail(fault, furtherFault);
+        shim.failSystemCalls(fault, furtherFault);
         int refused = submitSeveral("during", 40, accepted);
-        assertTrue(stand.process.isAlive(), "the relay ended: " + stand.log());
+        assertTrue(fixture.process.isAlive(), "the relay ended: " + fixture.logLines());
         assertTrue(refused >= 35, "messages accepted although no record can be written: " + (40 - refused));
-        shim.heal();
-        until("the relay accepts messages again", 2_000,
-            () -> stand.handIn("again", "order", 1, 15_000) == 202);
+        shim.clearFaults();
+        waitUntil("the relay accepts messages again", 2_000,
+            () -> fixture.submit("again", "order", 1, 15_000) == 202);
         accepted.add("again");
         submitSeveral("after", 10, accepted);
-        stand.kill();
-        endpoint.got.forEach(request -> accepted.add(request.id()));
-        Stand.Server second = stand.endpoint(2, request -> {
+        fixture.kill();
+        endpoint.requests.forEach(request -> accepted.add(request.id()));
+        RelayFixture.StubServer second = fixture.addEndpoint(2, request -> {
             delivered.add(request.id());
             return OK;
         });
-        stand.start();
-        until("each accepted message has its outcome", 8_000,
-            () -> accepted.stream().allMatch(id -> delivered.contains(id) || stand.ended(id, "outcome")));
-        assertTrue(second.got.size() >= 5);
-        List<String> calls = Stream.concat(endpoint.got.stream(), second.got.stream()).map(Stand.Got::id)
+        fixture.start();
+        waitUntil("each accepted message has its outcome", 8_000,
+            () -> accepted.stream()
+                .allMatch(id -> delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome")));
+        assertTrue(second.requests.size() >= 5);
+        List<String> calls = Stream.concat(endpoint.requests.stream(), second.requests.stream())
+            .map(RelayFixture.ReceivedRequest::id)
             .toList();
         assertEquals(calls.size(), Set.copyOf(calls).size(), "sent twice: " + calls);
         assertTrue(accepted.containsAll(calls), "sent although its client was refused: " + calls);
@@ -87,12 +89,12 @@
     private int submitSeveral(String name, int count, Set<String> accepted) throws IOException {
         int refused = 0;
         for (int i = 0; i < count; i++) {
-            if (stand.handIn(name + i, "order", 1, 15_000) == 202) {
+            if (fixture.submit(name + i, "order", 1, 15_000) == 202) {
                 accepted.add(name + i);
             } else {
                 refused++;
             }
-            Stand.pause(15);
+            RelayFixture.pause(15);
         }
         return refused;
     }
@@ -103,35 +105,35 @@
      */
     @Test
     public void attemptThatCannotBeRecordedIsNotSent() throws Exception {
-        FaultShim shim = new FaultShim(stand);
-        Stand.Server endpoint = stand.endpoint(1, request -> REFUSED);
-        stand.start();
-        assertEquals(stand.handIn("m1", "order", 1, 15_000), 202);
-        until("the endpoint refused the first attempt", 3_000, () -> !endpoint.got.isEmpty());
-        shim.fail("write=" + EIO);
-        endpoint.answer = request -> SILENCE;
-        Stand.pause(600);
-        int attempts = endpoint.got.size();
-        Stand.pause(800);
-        assertEquals(endpoint.got.size(), attempts);
-        stand.kill();
-        shim.heal();
-        endpoint.answer = request -> OK;
-        stand.start();
-        until("the message has its outcome", 5_000,
-            () -> endpoint.got.size() > attempts || stand.ended("m1", "given_up"));
+        FaultShim shim = new FaultShim(fixture);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> REFUSED);
+        fixture.start();
+        assertEquals(fixture.submit("m1", "order", 1, 15_000), 202);
+        waitUntil("the endpoint refused the first attempt", 3_000, () -> !endpoint.requests.isEmpty());
+        shim.failSystemCalls("write=" + EIO);
+        endpoint.responder = request -> NO_RESPONSE;
+        RelayFixture.pause(600);
+        int attempts = endpoint.requests.size();
+        RelayFixture.pause(800);
+        assertEquals(endpoint.requests.size(), attempts);
+        fixture.kill();
+        shim.clearFaults();
+        endpoint.responder = request -> OK;
+        fixture.start();
+        waitUntil("the message has its outcome", 5_000,
+            () -> endpoint.requests.size() > attempts || fixture.hasOutcomeNotice("m1", "given_up"));
     }
 
     /** Guards against a notice that is delayed until the folder can be written again. */
     @Test
     public void outcomeIsReportedInTimeAlthoughItCannotBeRecorded() throws Exception {
-        FaultShim shim = new FaultShim(stand);
-        stand.closed(1);
-        stand.start();
-        assertEquals(stand.handIn("m1", "order", 1, 1_000), 202);
+        FaultShim shim = new FaultShim(fixture);
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
+        assertEquals(fixture.submit("m1", "order", 1, 1_000), 202);
         long startNanos = System.nanoTime();
-        shim.fail("write=" + EIO);
-        until("the platform is notified", 2_000, () -> stand.ended("m1", "outcome"));
+        shim.failSystemCalls("write=" + EIO);
+        waitUntil("the platform is notified", 2_000, () -> fixture.hasOutcomeNotice("m1", "outcome"));
         assertTrue(System.nanoTime() - startNanos < 1_300_000_000L, "the notice was more than 0.3 s late");
     }
 
@@ -146,24 +148,24 @@
      */
     @Test(dataProvider = "startFaults")
     public void startWaitsWhileTheFolderFails(String fault) throws Exception {
-        FaultShim shim = new FaultShim(stand);
-        stand.closed(1);
-        stand.start();
-        assertEquals(stand.handIn("m1", "order", 1, 20_000), 202);
-        stand.kill();
-        Stand.Server endpoint = stand.endpoint(1, request -> OK);
-        shim.fail(fault);
-        stand.launch();
-        Stand.pause(2_500);
-        assertTrue(stand.process.isAlive(),
-            "the relay ended with " + (stand.process.isAlive() ? "" : exitCode()));
-        shim.heal();
-        until("the relay is ready", 3_000, stand::isReady);
-        until("the open message is delivered", 3_000, () -> endpoint.got.size() == 1);
+        FaultShim shim = new FaultShim(fixture);
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
+        assertEquals(fixture.submit("m1", "order", 1, 20_000), 202);
+        fixture.kill();
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
+        shim.failSystemCalls(fault);
+        fixture.startProcess();
+        RelayFixture.pause(2_500);
+        assertTrue(fixture.process.isAlive(),
+            "the relay ended with " + (fixture.process.isAlive() ? "" : exitCode()));
+        shim.clearFaults();
+        waitUntil("the relay is ready", 3_000, fixture::isReady);
+        waitUntil("the open message is delivered", 3_000, () -> endpoint.requests.size() == 1);
     }
 
     private int exitCode() {
-        return stand.process.exitValue();
+        return fixture.process.exitValue();
     }
 
     /**
@@ -172,19 +174,19 @@
      */
     @Test
     public void unexpectedContentsCountAsAnEmptyFolder() throws Exception {
-        Path state = stand.folder.resolve("state");
+        Path state = fixture.directory.resolve("state");
         for (String name : List.of("ledger", "ledger.next")) {
             Files.createDirectories(state.resolve(name).resolve("lost+found"));
         }
-        Stand.Server endpoint = stand.endpoint(1, request -> OK);
-        stand.start();
-        assertEquals(stand.handIn("m1", "order", 1, 5_000), 202);
-        until("the message is delivered", 2_000, () -> endpoint.got.size() == 1);
-        stand.kill();
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
+        fixture.start();
+        assertEquals(fixture.submit("m1", "order", 1, 5_000), 202);
+        waitUntil("the message is delivered", 2_000, () -> endpoint.requests.size() == 1);
+        fixture.kill();
         Files.write(state.resolve("ledger"), new byte[100_000]);
-        stand.start();
-        assertEquals(stand.handIn("m2", "order", 1, 5_000), 202);
-        until("the message is delivered", 2_000, () -> endpoint.got.size() == 2);
+        fixture.start();
+        assertEquals(fixture.submit("m2", "order", 1, 5_000), 202);
+        waitUntil("the message is delivered", 2_000, () -> endpoint.requests.size() == 2);
     }
 
     /**
@@ -193,30 +195,30 @@
      */
     @Test
     public void replacedFolderReceivesAllOpenMessages() throws Exception {
-        stand.closed(1);
-        stand.start();
-        assertEquals(stand.handIn("m1", "order", 1, 15_000), 202);
-        Path state = stand.folder.resolve("state");
-        Files.move(state, stand.folder.resolve("old"));
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
+        assertEquals(fixture.submit("m1", "order", 1, 15_000), 202);
+        Path state = fixture.directory.resolve("state");
+        Files.move(state, fixture.directory.resolve("old"));
         Files.createDirectory(state);
-        Stand.pause(500);
-        assertEquals(stand.handIn("m2", "order", 1, 15_000), 202);
-        stand.kill();
-        Stand.Server endpoint = stand.endpoint(1, request -> OK);
-        stand.start();
-        until("both messages are delivered", 4_000, () -> endpoint.got.size() == 2);
+        RelayFixture.pause(500);
+        assertEquals(fixture.submit("m2", "order", 1, 15_000), 202);
+        fixture.kill();
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
+        fixture.start();
+        waitUntil("both messages are delivered", 4_000, () -> endpoint.requests.size() == 2);
     }
 
     /** Guards against a stack trace or an endless wait where the configured folder is a file. */
     @Test
     public void fileInPlaceOfTheFolderEndsTheStartWithOneLine() throws Exception {
-        Files.writeString(stand.folder.resolve("state"), "no folder");
-        stand.closed(1);
-        stand.launch();
-        assertTrue(stand.process.waitFor(10, TimeUnit.SECONDS), "the relay still runs");
-        assertEquals(stand.process.exitValue(), 2);
-        assertEquals(stand.log().stream().filter(line -> line.contains("state")).count(), 1,
-            "" + stand.log());
+        Files.writeString(fixture.directory.resolve("state"), "no folder");
+        fixture.listDrainingEndpoint(1);
+        fixture.startProcess();
+        assertTrue(fixture.process.waitFor(10, TimeUnit.SECONDS), "the relay still runs");
+        assertEquals(fixture.process.exitValue(), 2);
+        assertEquals(fixture.logLines().stream().filter(line -> line.contains("state")).count(), 1,
+            "" + fixture.logLines());
     }
 
     /**
@@ -224,20 +226,21 @@
      */
     @Test
     public void ledgerLargerThanTheDirectMemoryIsWrittenAndReadBack() throws Exception {
-        stand.limits = ",\"disk_mb\":64";
-        stand.holdMost = 400;
-        stand.flags = List.of("-XX:MaxDirectMemorySize=4m");
-        stand.closed(1);
-        stand.start();
+        fixture.extraLimits = ",\"disk_mb\":64";
+        fixture.maxOpenMessages = 400;
+        fixture.jvmFlags = List.of("-XX:MaxDirectMemorySize=4m");
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
         AtomicBoolean failed = new AtomicBoolean();
         for (int i = 0; i < 200; i++) {
             failed.set(failed.get()
-                || stand.ask(Stand.envelope("m" + i, "order", 1, 60_000, "z".repeat(60_000)))
+                || fixture
+                    .exchange(RelayFixture.messageRequest("m" + i, "order", 1, 60_000, "z".repeat(60_000)))
                     .status() != 202);
         }
         assertFalse(failed.get());
-        stand.kill();
-        stand.start();
-        assertEquals(stand.figure("open"), 200);
+        fixture.kill();
+        fixture.start();
+        assertEquals(fixture.statistic("open"), 200);
     }
 }
--- a/relay/src/test/java/yewpath/StrayAnswerTest.java
+++ b/relay/src/test/java/yewpath/StrayAnswerTest.java
@@ -2,13 +2,13 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.CopyingEndpoint.BUSY;
-import static yewpath.CopyingEndpoint.bulkAnswer;
-import static yewpath.CopyingEndpoint.ids;
+import static yewpath.CopyingEndpoint.SERVICE_UNAVAILABLE;
+import static yewpath.CopyingEndpoint.bulkResponse;
+import static yewpath.CopyingEndpoint.messageIds;
 import static yewpath.CopyingEndpoint.staysOpen;
-import static yewpath.CopyingEndpoint.write;
-import static yewpath.Stand.OK;
-import static yewpath.Stand.until;
+import static yewpath.CopyingEndpoint.writeRaw;
+import static yewpath.RelayFixture.OK;
+import static yewpath.RelayFixture.waitUntil;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -26,7 +26,7 @@
  * A duplicate of an earlier response arrives on a connection while its next request is in progress. The
  * relay must not take it for the response to that request.
  */
-public final class StrayAnswerTest extends Stand.Tests {
+public final class StrayAnswerTest extends RelayFixture.RelayTest {
     private static final String TOO_MANY_REQUESTS = "HTTP/1.1 429 X\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n";
     private static final int MESSAGE_COUNT = 30;
 
@@ -41,17 +41,18 @@
      * If the connection has had a response before, sends that again and then waits, as for the work on the
      * request.
      */
-    private void resendLastResponse(Stand.Server server, Stand.Got request, int workMillis) {
-        String earlierResponse = lastResponses.get(request.connection);
+    private void resendLastResponse(RelayFixture.StubServer server, RelayFixture.ReceivedRequest request,
+        int workMillis) {
+        String earlierResponse = lastResponses.get(request.connectionNumber);
         if (earlierResponse != null) {
-            write(server, request, earlierResponse);
-            Stand.pause(workMillis);
+            writeRaw(server, request, earlierResponse);
+            RelayFixture.pause(workMillis);
         }
     }
 
     /** Remembers a response as the last one of its connection, and returns it. */
-    private String remember(Stand.Got request, String response) {
-        lastResponses.put(request.connection, response);
+    private String remember(RelayFixture.ReceivedRequest request, String response) {
+        lastResponses.put(request.connectionNumber, response);
         return response;
     }
 
@@ -59,22 +60,23 @@
      * Submits all messages and waits until each has its outcome. The set holds the ids of the messages that
      * the endpoint has executed.
      */
-    private void submitAll(String messageClass, Stand.Server server, Set<String> executed) throws Exception {
+    private void submitAll(String messageClass, RelayFixture.StubServer server, Set<String> executed)
+        throws Exception {
         for (int i = 0; i < MESSAGE_COUNT; i++) {
-            assertEquals(stand.handIn("m" + i, messageClass, 1, 5_000), 202);
-            Stand.pause(15);
+            assertEquals(fixture.submit("m" + i, messageClass, 1, 5_000), 202);
+            RelayFixture.pause(15);
         }
-        until("each message has its outcome", 8_000,
-            () -> executed.size() + stand.notices.size() >= MESSAGE_COUNT
-                && stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
-        assertTrue(server.got.size() >= MESSAGE_COUNT);
+        waitUntil("each message has its outcome", 8_000,
+            () -> executed.size() + fixture.notices.size() >= MESSAGE_COUNT
+                && fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
+        assertTrue(server.requests.size() >= MESSAGE_COUNT);
     }
 
     /** Successful responses that all have the same bytes, and ones that each have a body of their own. */
     @DataProvider
     public Object[][] successResponses() {
         Supplier<String> identical = () -> OK;
-        Supplier<String> distinct = Stand::distinctOk;
+        Supplier<String> distinct = RelayFixture::uniqueOk;
         return new Object[][]{{identical}, {distinct}};
     }
 
@@ -86,12 +88,12 @@
     public void duplicateOfARefusalRepeatsNoAtMostOnceMessage(Supplier<String> success) throws Exception {
         List<String> executions = new ArrayList<>();
         Set<String> executed = ConcurrentHashMap.newKeySet();
-        Stand.Server[] server = {null};
-        server[0] = stand.endpoint(1, request -> {
-            boolean isRefused = !lastResponses.containsKey(request.connection)
-                && server[0].posts().size() % 4 == 1;
+        RelayFixture.StubServer[] server = {null};
+        server[0] = fixture.addEndpoint(1, request -> {
+            boolean isRefused = !lastResponses.containsKey(request.connectionNumber)
+                && server[0].postRequests().size() % 4 == 1;
             if (isRefused) {
-                return remember(request, BUSY);
+                return remember(request, SERVICE_UNAVAILABLE);
             }
             synchronized (executions) {
                 executions.add(request.id());
@@ -100,7 +102,7 @@
             resendLastResponse(server[0], request, 100);
             return remember(request, success.get());
         });
-        stand.start();
+        fixture.start();
         submitAll("order", server[0], executed);
         assertEquals(executions.size(), Set.copyOf(executions).size(),
             "executed more than once: " + executions);
@@ -113,25 +115,26 @@
     @Test(dataProvider = "successResponses")
     public void duplicateOfASuccessDoesNotCompleteARefusedMessage(Supplier<String> success) throws Exception {
         Set<String> delivered = ConcurrentHashMap.newKeySet();
-        Stand.Server[] server = {null};
-        server[0] = stand.endpoint(1, request -> {
-            if (lastResponses.containsKey(request.connection)) {
+        RelayFixture.StubServer[] server = {null};
+        server[0] = fixture.addEndpoint(1, request -> {
+            if (lastResponses.containsKey(request.connectionNumber)) {
                 resendLastResponse(server[0], request, 60);
                 return TOO_MANY_REQUESTS;
             }
             delivered.add(request.id());
             return remember(request, success.get());
         });
-        stand.start();
+        fixture.start();
         for (int i = 0; i < MESSAGE_COUNT; i++) {
-            assertEquals(stand.handIn("m" + i, "status", 1, 3_000), 202);
-            Stand.pause(15);
+            assertEquals(fixture.submit("m" + i, "status", 1, 3_000), 202);
+            RelayFixture.pause(15);
         }
-        until("no message is open and no notice unacknowledged", 6_000,
-            () -> stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
+        waitUntil("no message is open and no notice unacknowledged", 6_000,
+            () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
         for (int i = 0; i < MESSAGE_COUNT; i++) {
             String id = "m" + i;
-            assertTrue(delivered.contains(id) || stand.ended(id, "outcome"), id + " has no outcome");
+            assertTrue(delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome"),
+                id + " has no outcome");
         }
     }
 
@@ -144,34 +147,34 @@
         Map<String, Integer> inProgress = new ConcurrentHashMap<>();
         List<String> concurrent = new ArrayList<>();
         Set<String> delivered = ConcurrentHashMap.newKeySet();
-        Stand.Server[] server = {null};
-        server[0] = stand.endpoint("e1", 1, "bundled", request -> {
-            List<String> ids = ids(request);
+        RelayFixture.StubServer[] server = {null};
+        server[0] = fixture.addEndpoint("e1", 1, "bundled", request -> {
+            List<String> ids = messageIds(request);
             for (String id : ids) {
                 if (inProgress.merge(id, 1, Integer::sum) > 1) {
                     concurrent.add(id);
                 }
             }
-            boolean sendsDuplicate = server[0].posts().size() % 3 == 0
-                && lastResponses.containsKey(request.connection);
+            boolean sendsDuplicate = server[0].postRequests().size() % 3 == 0
+                && lastResponses.containsKey(request.connectionNumber);
             if (sendsDuplicate) {
-                write(server[0], request, lastResponses.get(request.connection));
+                writeRaw(server[0], request, lastResponses.get(request.connectionNumber));
             }
             boolean open = staysOpen(server[0], request, 300);
             ids.forEach(id -> inProgress.merge(id, -1, Integer::sum));
             if (!open) {
-                return Stand.CUT;
+                return RelayFixture.CLOSE_CONNECTION;
             }
             delivered.addAll(ids);
-            return remember(request, ids.size() == 1 && !request.line.contains("bulk") ? OK
-                : bulkAnswer(ids.stream().collect(Collectors.toMap(id -> id, id -> "done"))));
+            return remember(request, ids.size() == 1 && !request.requestLine.contains("bulk") ? OK
+                : bulkResponse(ids.stream().collect(Collectors.toMap(id -> id, id -> "done"))));
         });
-        stand.start();
+        fixture.start();
         for (int i = 0; i < 2 * MESSAGE_COUNT; i++) {
-            assertEquals(stand.handIn("m" + i, "status", 1, 6_000), 202);
-            Stand.pause(15);
+            assertEquals(fixture.submit("m" + i, "status", 1, 6_000), 202);
+            RelayFixture.pause(15);
         }
-        until("all messages are delivered", 8_000, () -> delivered.size() == 2 * MESSAGE_COUNT);
+        waitUntil("all messages are delivered", 8_000, () -> delivered.size() == 2 * MESSAGE_COUNT);
         assertEquals(concurrent, List.of(), "two attempts at the same time");
     }
 
@@ -184,22 +187,22 @@
         String noContent = "HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n";
         String serverError = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n";
         Set<String> acknowledged = ConcurrentHashMap.newKeySet();
-        stand.endpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        stand.onNotice = request -> {
-            if (lastResponses.containsKey(request.connection)) {
-                resendLastResponse(stand.discovery, request, 60);
+        fixture.addEndpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.noticeResponder = request -> {
+            if (lastResponses.containsKey(request.connectionNumber)) {
+                resendLastResponse(fixture.discovery, request, 60);
                 return serverError;
             }
             acknowledged.add(request.body);
             return remember(request, noContent);
         };
-        stand.start();
+        fixture.start();
         for (int i = 0; i < 10; i++) {
-            assertEquals(stand.handIn("n" + i, "order", 1, 3_000), 202);
-            Stand.pause(40);
+            assertEquals(fixture.submit("n" + i, "order", 1, 3_000), 202);
+            RelayFixture.pause(40);
         }
-        until("no message is open and no notice unacknowledged", 5_000,
-            () -> stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
+        waitUntil("no message is open and no notice unacknowledged", 5_000,
+            () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
         for (int i = 0; i < 10; i++) {
             String id = '"' + "n" + i + '"';
             assertTrue(acknowledged.stream().anyMatch(body -> body.contains(id)),
@@ -225,20 +228,21 @@
      */
     @Test(dataProvider = "seeds")
     public void duplicatesAtAnyTimeViolateNoRule(long seed, String kind) throws Exception {
-        stand.holdMost = 200;
+        fixture.maxOpenMessages = 200;
         MessageRules rules = new MessageRules();
-        CopyingEndpoint.listed(stand, "e1", 1, kind, seed, rules);
-        stand.start();
+        CopyingEndpoint.addTo(fixture, "e1", 1, kind, seed, rules);
+        fixture.start();
         for (int i = 0; i < 2 * MESSAGE_COUNT; i++) {
-            assertEquals(stand.handIn("m" + i, i % 2 == 0 ? "order" : "status", 1, 3_000), 202);
-            Stand.pause(10);
+            assertEquals(fixture.submit("m" + i, i % 2 == 0 ? "order" : "status", 1, 3_000), 202);
+            RelayFixture.pause(10);
         }
-        until("no message is open and no notice unacknowledged", 8_000,
-            () -> stand.figure("open") == 0 && stand.figure("notices_owed") == 0);
-        assertEquals(rules.broken, List.of());
+        waitUntil("no message is open and no notice unacknowledged", 8_000,
+            () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
+        assertEquals(rules.violations, List.of());
         for (int i = 0; i < 2 * MESSAGE_COUNT; i++) {
             String id = "m" + i;
-            assertTrue(rules.delivered.contains(id) || stand.ended(id, "outcome"), id + " has no outcome");
+            assertTrue(rules.delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome"),
+                id + " has no outcome");
         }
     }
 }
--- a/relay/src/test/java/yewpath/WallClockTest.java
+++ b/relay/src/test/java/yewpath/WallClockTest.java
@@ -2,9 +2,9 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.Stand.OK;
-import static yewpath.Stand.SILENCE;
-import static yewpath.Stand.until;
+import static yewpath.RelayFixture.OK;
+import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.waitUntil;
 
 import org.testng.annotations.Test;
 
@@ -12,7 +12,7 @@
  * Steps the relay's wall clock by an hour, while it runs or between two processes. Deadlines and
  * deduplication windows must still be measured in elapsed time.
  */
-public final class WallClockTest extends Stand.Tests {
+public final class WallClockTest extends RelayFixture.RelayTest {
     private static final long HOUR_SECONDS = 3_600;
 
     /**
@@ -21,18 +21,18 @@
      */
     @Test
     public void forwardStepAcrossARestartFailsNoMessage() throws Exception {
-        FaultShim shim = new FaultShim(stand);
-        stand.closed(1);
-        stand.start();
+        FaultShim shim = new FaultShim(fixture);
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
         for (int i = 0; i < 5; i++) {
-            assertEquals(stand.handIn("m" + i, "order", 1, 15_000), 202);
+            assertEquals(fixture.submit("m" + i, "order", 1, 15_000), 202);
         }
-        stand.kill();
+        fixture.kill();
         shim.stepWallClock(HOUR_SECONDS);
-        Stand.Server endpoint = stand.endpoint(1, request -> OK);
-        stand.start();
-        until("all messages are delivered", 4_000, () -> endpoint.got.size() == 5);
-        assertTrue(stand.notices.isEmpty(), "" + stand.notices);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
+        fixture.start();
+        waitUntil("all messages are delivered", 4_000, () -> endpoint.requests.size() == 5);
+        assertTrue(fixture.notices.isEmpty(), "" + fixture.notices);
     }
 
     /**
@@ -41,14 +41,15 @@
      */
     @Test
     public void backwardStepAcrossARestartKeepsDeadlines() throws Exception {
-        FaultShim shim = new FaultShim(stand);
-        stand.closed(1);
-        stand.start();
-        assertEquals(stand.handIn("m1", "order", 1, 3_000), 202);
-        stand.kill();
+        FaultShim shim = new FaultShim(fixture);
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
+        assertEquals(fixture.submit("m1", "order", 1, 3_000), 202);
+        fixture.kill();
         shim.stepWallClock(-HOUR_SECONDS);
-        stand.start();
-        until("the message has its outcome by its deadline", 3_300, () -> stand.ended("m1", "outcome"));
+        fixture.start();
+        waitUntil("the message has its outcome by its deadline", 3_300,
+            () -> fixture.hasOutcomeNotice("m1", "outcome"));
     }
 
     /**
@@ -58,18 +59,18 @@
      */
     @Test
     public void backwardStepAcrossARestartKeepsTheDeduplicationWindow() throws Exception {
-        FaultShim shim = new FaultShim(stand);
-        stand.memoryMs = 1_500;
-        Stand.Server endpoint = stand.endpoint(1, request -> SILENCE);
-        stand.start();
-        assertEquals(stand.handIn("t1", "serial", 1, 15_000), 202);
-        until("the endpoint received the first attempt", 2_000, () -> endpoint.got.size() == 1);
-        stand.kill();
+        FaultShim shim = new FaultShim(fixture);
+        fixture.deduplicationMillis = 1_500;
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
+        fixture.start();
+        assertEquals(fixture.submit("t1", "serial", 1, 15_000), 202);
+        waitUntil("the endpoint received the first attempt", 2_000, () -> endpoint.requests.size() == 1);
+        fixture.kill();
         shim.stepWallClock(-HOUR_SECONDS);
-        Stand.pause(1_500);
-        stand.start();
-        until("the message has its outcome", 3_000, () -> stand.ended("t1", "outcome"));
-        assertEquals(endpoint.got.size(), 1, "sent again after the deduplication window");
+        RelayFixture.pause(1_500);
+        fixture.start();
+        waitUntil("the message has its outcome", 3_000, () -> fixture.hasOutcomeNotice("t1", "outcome"));
+        assertEquals(endpoint.requests.size(), 1, "sent again after the deduplication window");
     }
 
     /**
@@ -78,14 +79,15 @@
      */
     @Test
     public void stepsWhileRunningChangeNoDeadline() throws Exception {
-        FaultShim shim = new FaultShim(stand);
-        stand.closed(1);
-        stand.start();
-        assertEquals(stand.handIn("m1", "order", 1, 2_000), 202);
+        FaultShim shim = new FaultShim(fixture);
+        fixture.listDrainingEndpoint(1);
+        fixture.start();
+        assertEquals(fixture.submit("m1", "order", 1, 2_000), 202);
         shim.stepWallClock(HOUR_SECONDS);
-        Stand.pause(600);
-        assertTrue(stand.notices.isEmpty(), "" + stand.notices);
+        RelayFixture.pause(600);
+        assertTrue(fixture.notices.isEmpty(), "" + fixture.notices);
         shim.stepWallClock(-HOUR_SECONDS);
-        until("the message has its outcome by its deadline", 1_800, () -> stand.ended("m1", "outcome"));
+        waitUntil("the message has its outcome by its deadline", 1_800,
+            () -> fixture.hasOutcomeNotice("m1", "outcome"));
     }
 }
