--- a/relay/src/test/java/yewpath/ArchitectureTest.java
+++ b/relay/src/test/java/yewpath/ArchitectureTest.java
@@ -1,9 +1,9 @@
 package yewpath;
 
-import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
-import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
--- a/relay/src/test/java/yewpath/IntakeTest.java
+++ b/relay/src/test/java/yewpath/IntakeTest.java
@@ -28,7 +28,8 @@
     @BeforeClass
     public void start() throws Exception {
         fixture = new RelayFixture();
-        fixture.operatorConfig = "[clients]\nconnections = 4\nrequest_within = \"700 ms\"\nidle_for = \"1 min\"\n";
+        fixture.operatorConfig = "[clients]\nconnections = 4\n"
+            + "request_within = \"700 ms\"\nidle_for = \"1 min\"\n";
         endpoint = fixture.addEndpoint(1, request -> OK);
         fixture.start();
     }
--- a/relay/src/test/java/yewpath/ReloadTest.java
+++ b/relay/src/test/java/yewpath/ReloadTest.java
@@ -74,7 +74,8 @@
     public void blockedLogOutputDelaysNoMessage() throws Exception {
         fixture.endpointWeight = "1000.0";
         fixture.addEndpoint(1, request -> OK);
-        fixture.operatorConfig = "[log]\nlevel = \"debug\"\nqueue = 16\nform = \"json\"\n[clients]\nconnections = 4\n";
+        fixture.operatorConfig = "[log]\nlevel = \"debug\"\nqueue = 16\nform = \"json\"\n"
+            + "[clients]\nconnections = 4\n";
         fixture.maxOpenMessages = 500;
         // Nobody reads the relay's output: the pipe fills up, and then a write to it blocks forever.
         fixture.leaveOutputUnread = true;
--- a/relay/src/test/java/yewpath/RestartTest.java
+++ b/relay/src/test/java/yewpath/RestartTest.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.RelayFixture.OK;
 import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.OK;
 import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
--- a/relay/src/test/java/yewpath/StateFolderTest.java
+++ b/relay/src/test/java/yewpath/StateFolderTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 import static yewpath.FaultShim.EIO;
 import static yewpath.FaultShim.ENOSPC;
-import static yewpath.RelayFixture.OK;
 import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.OK;
 import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
--- a/relay/src/test/java/yewpath/StrayAnswerTest.java
+++ b/relay/src/test/java/yewpath/StrayAnswerTest.java
@@ -27,7 +27,8 @@
  * relay must not take it for the response to that request.
  */
 public final class StrayAnswerTest extends RelayFixture.RelayTest {
-    private static final String TOO_MANY_REQUESTS = "HTTP/1.1 429 X\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n";
+    private static final String TOO_MANY_REQUESTS = "HTTP/1.1 429 X\r\nRetry-After: 0.2\r\n"
+        + "Content-Length: 0\r\n\r\n";
     private static final int MESSAGE_COUNT = 30;
 
     private final Map<Integer, String> lastResponses = new ConcurrentHashMap<>();
