--- a/relay/src/test/java/yewpath/IntakeTest.java
+++ b/relay/src/test/java/yewpath/IntakeTest.java
@@ -244,19 +244,19 @@
         byte[] incomplete = RelayFixture.messageRequest("h", "status", 1, 5000, "h".repeat(65_000))
             .substring(0, 62_000)
             .getBytes(StandardCharsets.ISO_8859_1);
-        try (RelayFixture crowded = new RelayFixture()) {
-            crowded.addEndpoint(1, request -> OK);
-            crowded.start();
+        try (RelayFixture crowdedFixture = new RelayFixture()) {
+            crowdedFixture.addEndpoint(1, request -> OK);
+            crowdedFixture.start();
             for (int i = 0; i < 620; i++) {
-                sockets.add(crowded.connect());
+                sockets.add(crowdedFixture.connect());
                 try {
                     sockets.get(i).getOutputStream().write(incomplete);
                 } catch (IOException closedMeanwhile) {
                     continue;
                 }
             }
-            assertEquals(crowded.submit("after", "status", 1, 5000), 202);
-            assertTrue(crowded.process.isAlive());
+            assertEquals(crowdedFixture.submit("after", "status", 1, 5000), 202);
+            assertTrue(crowdedFixture.process.isAlive());
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
@@ -270,13 +270,13 @@
      */
     @Test
     public void silentAndSlowClientsAreDisconnectedWithinThreeSeconds() throws Exception {
-        try (RelayFixture server = new RelayFixture()) {
-            server.addEndpoint(1, request -> OK);
-            server.start();
+        try (RelayFixture defaultFixture = new RelayFixture()) {
+            defaultFixture.addEndpoint(1, request -> OK);
+            defaultFixture.start();
             long startNanos = System.nanoTime();
-            try (Socket silent = server.connect();
-                Socket late = server.connect();
-                Socket kept = server.connect()) {
+            try (Socket silent = defaultFixture.connect();
+                Socket late = defaultFixture.connect();
+                Socket kept = defaultFixture.connect()) {
                 assertEquals(RelayFixture.exchange(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
                 RelayFixture.pause(1500);
                 late.getOutputStream()
@@ -298,18 +298,18 @@
     @Test
     public void connectionsWithARequestAreNotEvicted() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (RelayFixture crowded = new RelayFixture()) {
-            crowded.operatorConfig = "[clients]\nconnections = 4\n";
-            crowded.addEndpoint(1, request -> OK);
-            crowded.start();
-            crowded.signal("STOP");
+        try (RelayFixture crowdedFixture = new RelayFixture()) {
+            crowdedFixture.operatorConfig = "[clients]\nconnections = 4\n";
+            crowdedFixture.addEndpoint(1, request -> OK);
+            crowdedFixture.start();
+            crowdedFixture.signal("STOP");
             for (int i = 0; i < 300; i++) {
-                clients.add(crowded.connect());
+                clients.add(crowdedFixture.connect());
                 clients.get(i).getOutputStream()
                     .write(RelayFixture.messageRequest("rush" + i, "status", 1, 7900, "x")
                         .getBytes(StandardCharsets.ISO_8859_1));
             }
-            crowded.signal("CONT");
+            crowdedFixture.signal("CONT");
             for (int i = 0; i < clients.size(); i++) {
                 int status = RelayFixture.readResponse(clients.get(i)).status();
                 assertTrue(status == 202 || status == 503, "connection " + i + ": " + status);
@@ -344,20 +344,21 @@
     @Test
     public void burstOfConnectionsLeavesDescriptorsForCalls() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (RelayFixture crowded = new RelayFixture()) {
-            crowded.extraLimits = ",\"sockets\":128";
-            crowded.maxFileDescriptors = 128;
-            RelayFixture.StubServer healthyEndpoint = crowded.addEndpoint(1, request -> OK);
-            crowded.start();
-            crowded.signal("STOP");
+        try (RelayFixture crowdedFixture = new RelayFixture()) {
+            crowdedFixture.extraLimits = ",\"sockets\":128";
+            crowdedFixture.maxFileDescriptors = 128;
+            RelayFixture.StubServer healthyEndpoint = crowdedFixture.addEndpoint(1, request -> OK);
+            crowdedFixture.start();
+            crowdedFixture.signal("STOP");
             for (int i = 0; i < 400; i++) {
-                clients.add(crowded.connect());
+                clients.add(crowdedFixture.connect());
             }
-            crowded.signal("CONT");
-            assertEquals(crowded.submit("after", "status", 1, 5000), 202);
+            crowdedFixture.signal("CONT");
+            assertEquals(crowdedFixture.submit("after", "status", 1, 5000), 202);
             RelayFixture.waitUntil("the message is delivered", 2000,
                 () -> healthyEndpoint.requests.size() == 1);
-            assertFalse(Files.readString(crowded.directory.resolve("log")).contains("Too many open files"));
+            assertFalse(
+                Files.readString(crowdedFixture.directory.resolve("log")).contains("Too many open files"));
         } finally {
             for (Socket socket : clients) {
                 socket.close();
