--- a/relay/src/test/java/yewpath/IntakeTest.java
+++ b/relay/src/test/java/yewpath/IntakeTest.java
@@ -17,7 +17,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What clients may do at the door, and what they are answered. */
+/**
+ * Requests of clients, valid and invalid, complete and incomplete, and the responses that the relay gives.
+ */
 public final class IntakeTest {
     private static final String FIELDS = "Request-Id: x1\r\nRequest-Timeout: 800m\r\nX-Addressing: dest=1\r\n";
     private RelayFixture fixture;
@@ -26,8 +28,9 @@
     @BeforeClass
     public void start() throws Exception {
         fixture = new RelayFixture();
-        fixture.operatorConfig = "[clients]\nconnections = 4\nrequest_within = \"700 ms\"\nidle_for = \"1 min\"\n";
-        endpoint = fixture.addEndpoint(1, got -> OK);
+        fixture.operatorConfig = "[clients]\nconnections = 4\n"
+            + "request_within = \"700 ms\"\nidle_for = \"1 min\"\n";
+        endpoint = fixture.addEndpoint(1, request -> OK);
         fixture.start();
     }
 
@@ -37,7 +40,7 @@
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] malformedRequests() {
         String post = "POST /status HTTP/1.1\r\n" + FIELDS;
         return new Object[][]{
             {"both length headers", 400, post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"},
@@ -46,32 +49,41 @@
             {"a signed length", 400, post + "Content-Length: +3\r\n\r\nabc"},
             {"an unknown coding", 400, post + "Transfer-Encoding: gzip, chunked\r\n\r\n"},
             {"a bad chunk size", 400, post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"},
-            {"a chunk longer than told", 400,
+            {"a chunk longer than its size", 400,
                 post + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n"},
             {"a space before the colon", 400, post + "Content-Length : 3\r\n\r\nabc"},
             {"a folded header", 400, post + "X-A: b\r\n c\r\n\r\n"},
             {"a bare line feed", 400, "POST /status HTTP/1.1\n\n"},
             {"no request line", 400, "hello\r\n\r\n"},
             {"another version", 400, "POST /status HTTP/2.0\r\n\r\n"},
-            {"a body too long", 413, post + "Content-Length: 65537\r\n\r\n"},
-            {"chunks too long", 413, post + "Transfer-Encoding: chunked\r\n\r\nffff\r\n" + "x".repeat(65535)
-                + "\r\n2\r\nxx\r\n0\r\n\r\n"},
-            {"a head too long", 431, post + "X-A: " + "y".repeat(9000) + "\r\n\r\n"},
-            {"a head without end", 431, post + "X-A: " + "y".repeat(9000)},
+            {"a body that is too long", 413, post + "Content-Length: 65537\r\n\r\n"},
+            {"chunks that are too long together", 413,
+                post + "Transfer-Encoding: chunked\r\n\r\nffff\r\n" + "x".repeat(65535)
+                    + "\r\n2\r\nxx\r\n0\r\n\r\n"},
+            {"a head that is too long", 431, post + "X-A: " + "y".repeat(9000) + "\r\n\r\n"},
+            {"a head that is too long and incomplete", 431, post + "X-A: " + "y".repeat(9000)},
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void refusesAndCloses(String what, int status, String request) throws Exception {
+    /**
+     * Guards against request smuggling and unbounded requests. Where the length of a request is unclear or
+     * too large, the following bytes can't be read as a new request, so the relay must respond, close the
+     * connection and send nothing to the endpoint.
+     */
+    @Test(dataProvider = "malformedRequests")
+    public void malformedRequestIsRefusedAndTheConnectionClosed(String description, int status,
+        String request) throws Exception {
         try (Socket socket = fixture.connect()) {
-            assertEquals(RelayFixture.exchange(socket, request).status(), status, what);
-            assertTrue(RelayFixture.isClosedWithin(socket, 2000), what + ": stays open");
+            assertEquals(RelayFixture.exchange(socket, request).status(), status, description);
+            assertTrue(RelayFixture.isClosedWithin(socket, 2000),
+                description + ": the connection stays open");
         }
-        assertTrue(endpoint.requests.stream().noneMatch(g -> "x1".equals(g.id())), what + ": was sent on");
+        assertTrue(endpoint.requests.stream().noneMatch(call -> "x1".equals(call.id())),
+            description + ": was sent to the endpoint");
     }
 
     @DataProvider
-    public Object[][] unfit() {
+    public Object[][] unacceptableRequests() {
         return new Object[][]{
             {404, "POST /elsewhere HTTP/1.1\r\n" + FIELDS + "\r\n"},
             {404, "GET / HTTP/1.1\r\n\r\n"},
@@ -88,17 +100,25 @@
         };
     }
 
-    @Test(dataProvider = "unfit")
-    public void refusesAndReadsOn(int status, String request) throws Exception {
+    /**
+     * Guards against a connection that is closed or misread after a well-formed request that the relay can't
+     * accept: the next request on it must still be answered.
+     */
+    @Test(dataProvider = "unacceptableRequests")
+    public void unacceptableRequestIsRefusedAndTheConnectionKept(int status, String request)
+        throws Exception {
         try (Socket socket = fixture.connect()) {
             assertEquals(RelayFixture.exchange(socket, request).status(), status);
             assertEquals(RelayFixture.exchange(socket, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
         }
     }
 
-    /** A list may only be late: who asks for what it does not name yet is told when to come again, not that it failed. */
+    /**
+     * Guards against a final failure for a destination that is not listed yet. Since the list may only be
+     * late, the client must be told when to retry.
+     */
     @Test
-    public void whatIsNotListedYetIsRefusedUntilItIs() throws Exception {
+    public void unlistedDestinationIsRefusedWithARetryTimeUntilItIsListed() throws Exception {
         try (Socket socket = fixture.connect()) {
             RelayFixture.Response early = RelayFixture.exchange(socket,
                 RelayFixture.messageRequest("u1", "status", 9, 800, "x"));
@@ -106,39 +126,47 @@
             assertEquals(early.headers().get("retry-after"), "1.000");
             assertEquals(fixture.statistic("open"), 0);
             fixture.publish(false, fixture.listEntry("late", endpoint.address(), 9, "plain", "up"));
-            RelayFixture.waitUntil("it is taken on once the list names it", 3000,
+            RelayFixture.waitUntil("the message is accepted once its destination is listed", 3000,
                 () -> RelayFixture.exchange(socket, RelayFixture.messageRequest("u2", "status", 9, 7900, "x"))
                     .status() == 202);
         }
-        RelayFixture.waitUntil("delivered", 2000,
-            () -> endpoint.requests.stream().anyMatch(g -> "u2".equals(g.id())));
+        RelayFixture.waitUntil("the message is delivered", 2000,
+            () -> endpoint.requests.stream().anyMatch(call -> "u2".equals(call.id())));
     }
 
+    /**
+     * Guards against a parser that fails when a request arrives byte by byte, or that counts chunk
+     * extensions and trailers as parts of the body.
+     */
     @Test
-    public void takesAnEnvelopeByteByByteAndInChunks() throws Exception {
+    public void acceptsAMessageThatArrivesByteByByteInChunks() throws Exception {
         String chunked = "POST /status HTTP/1.1\r\nRequest-Id: c1\r\nRequest-Timeout: 800000.5u\r\nX-Addressing: dest=1\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-T: v\r\n\r\n";
         try (Socket socket = fixture.connect()) {
             socket.setTcpNoDelay(true);
             OutputStream out = socket.getOutputStream();
-            for (byte b : chunked.getBytes(StandardCharsets.ISO_8859_1)) {
-                out.write(b);
+            for (byte requestByte : chunked.getBytes(StandardCharsets.ISO_8859_1)) {
+                out.write(requestByte);
             }
             assertEquals(RelayFixture.readResponse(socket).status(), 202);
         }
-        RelayFixture.waitUntil("delivered whole", 2000, () -> endpoint.requests.stream()
-            .anyMatch(g -> "c1".equals(g.id()) && g.body.equals("abcde")));
+        RelayFixture.waitUntil("the complete message is delivered", 2000, () -> endpoint.requests.stream()
+            .anyMatch(call -> "c1".equals(call.id()) && call.body.equals("abcde")));
     }
 
+    /**
+     * Guards against responses that are lost or out of order when a client pipelines requests that exceed
+     * the relay's buffers.
+     */
     @Test
-    public void answersRequestsSentAheadInTheirOrder() throws Exception {
-        StringBuilder ahead = new StringBuilder();
+    public void answersPipelinedRequestsInOrder() throws Exception {
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 8; i++) {
-            ahead.append(RelayFixture.messageRequest("p" + i, "status", 1, 5000, "b".repeat(60_000)));
-            ahead.append("GET /nowhere HTTP/1.1\r\n\r\n");
+            pipelined.append(RelayFixture.messageRequest("p" + i, "status", 1, 5000, "b".repeat(60_000)));
+            pipelined.append("GET /nowhere HTTP/1.1\r\n\r\n");
         }
         try (Socket socket = fixture.connect()) {
-            socket.getOutputStream().write(ahead.toString().getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream().write(pipelined.toString().getBytes(StandardCharsets.ISO_8859_1));
             for (int i = 0; i < 8; i++) {
                 assertEquals(RelayFixture.readResponse(socket).status(), 202);
                 assertEquals(RelayFixture.readResponse(socket).status(), 404);
@@ -146,11 +174,15 @@
         }
     }
 
+    /**
+     * Guards against a request that never completes because its encoding in very small chunks is longer than
+     * the buffer, although its body is not. Suspending the relay makes all bytes available at once.
+     */
     @Test
-    public void readsARequestLongerOnTheWireThanItsRing() throws Exception {
-        String small = "1\r\nx\r\n".repeat(30_000) + "0\r\n\r\n";
+    public void readsARequestThatIsLongerThanTheBufferOnTheWire() throws Exception {
+        String smallChunks = "1\r\nx\r\n".repeat(30_000) + "0\r\n\r\n";
         String chunked = "POST /status HTTP/1.1\r\nRequest-Id: f2\r\nRequest-Timeout: 5000m\r\nX-Addressing: dest=1\r\n"
-            + "Transfer-Encoding: chunked\r\n\r\n" + small;
+            + "Transfer-Encoding: chunked\r\n\r\n" + smallChunks;
         fixture.signal("STOP");
         try (Socket socket = fixture.connect()) {
             socket.getOutputStream()
@@ -162,8 +194,9 @@
         }
     }
 
+    /** Guards against a deadlock with a client that sends its body only after the response 100 Continue. */
     @Test
-    public void asksForTheBodyOfAClientThatWaitsToBeAsked() throws Exception {
+    public void requestsTheBodyOfAClientThatExpectsContinue() throws Exception {
         try (Socket socket = fixture.connect()) {
             String head = "POST /status HTTP/1.1\r\n" + FIELDS.replace("x1", "w1")
                 + "Expect: 100-continue\r\n"
@@ -173,8 +206,9 @@
         }
     }
 
+    /** Guards against a connection that is occupied without limit by an incomplete request. */
     @Test
-    public void endsARequestThatDoesNotCome() throws Exception {
+    public void incompleteRequestTimesOut() throws Exception {
         try (Socket socket = fixture.connect()) {
             assertEquals(RelayFixture.exchange(socket, "POST /status HTTP/1.1\r\nRequest-Id: s").status(),
                 408);
@@ -182,9 +216,13 @@
         }
     }
 
+    /**
+     * Guards against sending a message whose client closed its connection before the relay read the request.
+     * That client gets no response, and will submit the message again.
+     */
     @Test
-    public void aClientThatLeftHasNothingSentForIt() throws Exception {
-        // Stopped meanwhile, the relay finds the request and the connection's end at once.
+    public void messageOfAClientThatHasGoneIsNotSent() throws Exception {
+        // The relay is suspended, so that it finds the request and the end of the connection at once.
         fixture.signal("STOP");
         try (Socket socket = fixture.connect()) {
             socket.getOutputStream().write(RelayFixture.messageRequest("l1", "order", 1, 5000, "x")
@@ -192,32 +230,33 @@
         }
         fixture.signal("CONT");
         assertEquals(fixture.submit("l2", "order", 1, 5000), 202);
-        RelayFixture.waitUntil("the next is delivered", 2000,
-            () -> endpoint.requests.stream().anyMatch(g -> "l2".equals(g.id())));
+        RelayFixture.waitUntil("the next message is delivered", 2000,
+            () -> endpoint.requests.stream().anyMatch(call -> "l2".equals(call.id())));
         Thread.sleep(200);
-        assertTrue(endpoint.requests.stream().noneMatch(g -> "l1".equals(g.id())),
-            "sent for a client that had left");
+        assertTrue(endpoint.requests.stream().noneMatch(call -> "l1".equals(call.id())),
+            "sent although its client had gone");
     }
 
+    /** Guards against memory exhaustion by clients that each send most of a large body and then wait. */
     @Test
-    public void unfinishedBodiesOnManyConnectionsDoNotUseUpItsMemory() throws Exception {
+    public void incompleteBodiesOnManyConnectionsDoNotExhaustMemory() throws Exception {
         List<Socket> sockets = new ArrayList<>();
-        byte[] unfinished = RelayFixture.messageRequest("h", "status", 1, 5000, "h".repeat(65_000))
+        byte[] incomplete = RelayFixture.messageRequest("h", "status", 1, 5000, "h".repeat(65_000))
             .substring(0, 62_000)
             .getBytes(StandardCharsets.ISO_8859_1);
-        try (RelayFixture crowded = new RelayFixture()) {
-            crowded.addEndpoint(1, got -> OK);
-            crowded.start();
+        try (RelayFixture crowdedFixture = new RelayFixture()) {
+            crowdedFixture.addEndpoint(1, request -> OK);
+            crowdedFixture.start();
             for (int i = 0; i < 620; i++) {
-                sockets.add(crowded.connect());
+                sockets.add(crowdedFixture.connect());
                 try {
-                    sockets.get(i).getOutputStream().write(unfinished);
+                    sockets.get(i).getOutputStream().write(incomplete);
                 } catch (IOException closedMeanwhile) {
                     continue;
                 }
             }
-            assertEquals(crowded.submit("after", "status", 1, 5000), 202);
-            assertTrue(crowded.process.isAlive());
+            assertEquals(crowdedFixture.submit("after", "status", 1, 5000), 202);
+            assertTrue(crowdedFixture.process.isAlive());
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
@@ -225,54 +264,63 @@
         }
     }
 
+    /**
+     * Guards against connections that are occupied by clients that send nothing, or start a request late and
+     * never complete it. A connection that has had a request stays open.
+     */
     @Test
-    public void silentAndSlowClientsAreEndedWithinThreeSecondsOfConnecting() throws Exception {
-        try (RelayFixture usual = new RelayFixture()) {
-            usual.addEndpoint(1, got -> OK);
-            usual.start();
-            long start = System.nanoTime();
-            try (Socket silent = usual.connect();
-                Socket late = usual.connect();
-                Socket kept = usual.connect()) {
+    public void silentAndSlowClientsAreDisconnectedWithinThreeSeconds() throws Exception {
+        try (RelayFixture defaultFixture = new RelayFixture()) {
+            defaultFixture.addEndpoint(1, request -> OK);
+            defaultFixture.start();
+            long startNanos = System.nanoTime();
+            try (Socket silent = defaultFixture.connect();
+                Socket late = defaultFixture.connect();
+                Socket kept = defaultFixture.connect()) {
                 assertEquals(RelayFixture.exchange(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
                 RelayFixture.pause(1500);
                 late.getOutputStream()
                     .write("POST /status HTTP/1.1\r\nRequest-Id".getBytes(StandardCharsets.ISO_8859_1));
-                assertTrue(RelayFixture.isClosedWithin(silent, 1400), "silent, and still open");
-                assertTrue(System.nanoTime() - start > 2_000_000_000L, "closed before its 2 s were over");
+                assertTrue(RelayFixture.isClosedWithin(silent, 1400), "the silent connection is still open");
+                assertTrue(System.nanoTime() - startNanos > 2_000_000_000L,
+                    "the silent connection was closed before 2 s had passed");
                 assertEquals(RelayFixture.readResponse(late).status(), 408);
-                assertTrue(System.nanoTime() - start < 3_000_000_000L, "told too late");
+                assertTrue(System.nanoTime() - startNanos < 3_000_000_000L, "the response 408 came too late");
                 assertEquals(RelayFixture.exchange(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
             }
         }
     }
 
-    /** Held still, the relay finds far more connections than it has room for, each with a request that it has not read. */
+    /**
+     * Guards against connections that are evicted although their request has arrived. The suspended relay
+     * finds far more connections than its limit at once, each with a request that it has not read.
+     */
     @Test
-    public void whoHasAskedIsNotClosedForWantOfRoom() throws Exception {
-        List<Socket> rush = new ArrayList<>();
-        try (RelayFixture full = new RelayFixture()) {
-            full.operatorConfig = "[clients]\nconnections = 4\n";
-            full.addEndpoint(1, got -> OK);
-            full.start();
-            full.signal("STOP");
+    public void connectionsWithARequestAreNotEvicted() throws Exception {
+        List<Socket> clients = new ArrayList<>();
+        try (RelayFixture crowdedFixture = new RelayFixture()) {
+            crowdedFixture.operatorConfig = "[clients]\nconnections = 4\n";
+            crowdedFixture.addEndpoint(1, request -> OK);
+            crowdedFixture.start();
+            crowdedFixture.signal("STOP");
             for (int i = 0; i < 300; i++) {
-                rush.add(full.connect());
-                rush.get(i).getOutputStream()
+                clients.add(crowdedFixture.connect());
+                clients.get(i).getOutputStream()
                     .write(RelayFixture.messageRequest("rush" + i, "status", 1, 7900, "x")
                         .getBytes(StandardCharsets.ISO_8859_1));
             }
-            full.signal("CONT");
-            for (int i = 0; i < rush.size(); i++) {
-                int status = RelayFixture.readResponse(rush.get(i)).status();
+            crowdedFixture.signal("CONT");
+            for (int i = 0; i < clients.size(); i++) {
+                int status = RelayFixture.readResponse(clients.get(i)).status();
                 assertTrue(status == 202 || status == 503, "connection " + i + ": " + status);
-                rush.get(i).close();
+                clients.get(i).close();
             }
         }
     }
 
+    /** Guards against active connections that are evicted in favour of new ones that never send a request. */
     @Test
-    public void silentConnectionsDoNotTakeTheRoomOfThoseThatAsk() throws Exception {
+    public void silentConnectionsDoNotDisplaceActiveOnes() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try (Socket kept = fixture.connect()) {
             assertEquals(RelayFixture.exchange(kept, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
@@ -289,33 +337,40 @@
         }
     }
 
+    /**
+     * Guards against a burst of connections that uses up the file descriptors, so that calls, notices and
+     * the discovery connection can't be opened.
+     */
     @Test
-    public void aRushOfConnectsLeavesDescriptorsForAllElse() throws Exception {
-        List<Socket> rush = new ArrayList<>();
-        try (RelayFixture crowded = new RelayFixture()) {
-            crowded.extraLimits = ",\"sockets\":128";
-            crowded.maxFileDescriptors = 128;
-            RelayFixture.StubServer up = crowded.addEndpoint(1, got -> OK);
-            crowded.start();
-            crowded.signal("STOP");
+    public void burstOfConnectionsLeavesDescriptorsForCalls() throws Exception {
+        List<Socket> clients = new ArrayList<>();
+        try (RelayFixture crowdedFixture = new RelayFixture()) {
+            crowdedFixture.extraLimits = ",\"sockets\":128";
+            crowdedFixture.maxFileDescriptors = 128;
+            RelayFixture.StubServer healthyEndpoint = crowdedFixture.addEndpoint(1, request -> OK);
+            crowdedFixture.start();
+            crowdedFixture.signal("STOP");
             for (int i = 0; i < 400; i++) {
-                rush.add(crowded.connect());
+                clients.add(crowdedFixture.connect());
             }
-            crowded.signal("CONT");
-            assertEquals(crowded.submit("after", "status", 1, 5000), 202);
-            RelayFixture.waitUntil("delivered", 2000, () -> up.requests.size() == 1);
-            assertFalse(Files.readString(crowded.directory.resolve("log")).contains("Too many open files"));
+            crowdedFixture.signal("CONT");
+            assertEquals(crowdedFixture.submit("after", "status", 1, 5000), 202);
+            RelayFixture.waitUntil("the message is delivered", 2000,
+                () -> healthyEndpoint.requests.size() == 1);
+            assertFalse(
+                Files.readString(crowdedFixture.directory.resolve("log")).contains("Too many open files"));
         } finally {
-            for (Socket socket : rush) {
+            for (Socket socket : clients) {
                 socket.close();
             }
         }
     }
 
+    /** Guards against a relay that reads without limit what a refused client keeps sending. */
     @Test
-    public void doesNotReadAllThatARefusedClientGoesOnSending() throws Exception {
-        byte[] much = new byte[1 << 20];
-        int sent = 0;
+    public void readsOnlyALimitedAmountAfterARefusal() throws Exception {
+        byte[] megabyte = new byte[1 << 20];
+        int sentMegabytes = 0;
         try (Socket socket = fixture.connect()) {
             assertEquals(
                 RelayFixture
@@ -323,17 +378,21 @@
                         "POST /status HTTP/1.1\r\n" + FIELDS + "Content-Length: 60000000\r\n\r\n")
                     .status(),
                 413);
-            for (; sent < 60; sent++) {
-                socket.getOutputStream().write(much);
+            for (; sentMegabytes < 60; sentMegabytes++) {
+                socket.getOutputStream().write(megabyte);
             }
         } catch (IOException closed) {
-            assertTrue(sent < 30, sent + " MB were read");
+            assertTrue(sentMegabytes < 30, sentMegabytes + " MB were read");
         }
-        assertTrue(sent < 60, "all was read");
+        assertTrue(sentMegabytes < 60, "everything was read");
     }
 
+    /**
+     * Guards against a relay that exceeds its limit of connections, or reaches it and refuses new clients
+     * instead of evicting idle ones.
+     */
     @Test
-    public void boundsItsConnectionsAndStillAnswersTheNewest() throws Exception {
+    public void evictsIdleConnectionsInFavourOfNewOnes() throws Exception {
         List<Socket> sockets = new ArrayList<>();
         try {
             for (int i = 0; i < 9; i++) {
@@ -345,7 +404,7 @@
             for (Socket socket : sockets) {
                 open += RelayFixture.isClosedWithin(socket, 100) ? 0 : 1;
             }
-            assertTrue(open <= 4, open + " of 9 stayed open");
+            assertTrue(open <= 4, open + " of 9 connections stayed open");
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
