--- a/relay/src/test/java/yewpath/ReloadTest.java
+++ b/relay/src/test/java/yewpath/ReloadTest.java
@@ -13,14 +13,19 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.testng.annotations.Test;
 
-/** The operator's file on a relay that runs, and what its log says meanwhile. */
+/** Reloads the operator's file of a running relay, and checks what the relay logs meanwhile. */
 public final class ReloadTest extends RelayFixture.RelayTest {
+    /**
+     * Guards against messages that are lost, and an invalid file that takes effect, when the operator's file
+     * is reloaded under load. The first new file changes one key that takes effect at run time and one that
+     * needs a restart; the second file is invalid.
+     */
     @Test
-    public void aNewFileUnderLoadLosesNothingAndSaysWhatWaits() throws Exception {
+    public void reloadUnderLoadLosesNoMessageAndLogsTheChangedKeys() throws Exception {
         Set<String> arrived = ConcurrentHashMap.newKeySet();
-        fixture.addEndpoint(1, got -> {
+        fixture.addEndpoint(1, request -> {
             RelayFixture.pause(20);
-            arrived.add(got.id());
+            arrived.add(request.id());
             return OK;
         });
         fixture.operatorConfig = "[log]\nform = \"json\"\nlevel = \"debug\"\n";
@@ -37,36 +42,42 @@
                 fixture.signal("HUP");
             }
         }
-        waitUntil("all delivered", 9000, () -> arrived.size() == 200);
-        waitUntil("the bad file is told", 2000,
-            () -> fixture.logLines().stream().anyMatch(l -> l.contains("relay.reload_refused")));
+        waitUntil("all messages are delivered", 9000, () -> arrived.size() == 200);
+        waitUntil("the relay logs that it refused the invalid file", 2000,
+            () -> fixture.logLines().stream().anyMatch(line -> line.contains("relay.reload_refused")));
         List<String> log = fixture.logLines();
-        String taken = log.stream().filter(l -> l.contains("relay.reloaded")).findFirst().orElseThrow();
-        assertTrue(taken.contains("\"changed\":[\"clients.idle_for\"]")
-            && taken.contains("\"waits_for_restart\":[\"clients.backlog\"]"), taken);
-        String refused = log.stream().filter(l -> l.contains("relay.reload_refused")).findFirst()
+        String reloaded = log.stream().filter(line -> line.contains("relay.reloaded")).findFirst()
+            .orElseThrow();
+        assertTrue(reloaded.contains("\"changed\":[\"clients.idle_for\"]")
+            && reloaded.contains("\"waits_for_restart\":[\"clients.backlog\"]"), reloaded);
+        String refused = log.stream().filter(line -> line.contains("relay.reload_refused")).findFirst()
             .orElseThrow();
         assertTrue(refused.contains("yewpath.toml:2: clients.idle_for")
             && refused.contains("yewpath.toml:3: unknown key"), refused);
         try (Socket socket = fixture.connect()) {
             assertEquals(RelayFixture.exchange(socket, "GET /health/live HTTP/1.1\r\n\r\n").status(), 200);
-            assertTrue(RelayFixture.isClosedWithin(socket, 2000), "the new idle time is not in force");
+            assertTrue(RelayFixture.isClosedWithin(socket, 2000), "the new idle timeout is not in effect");
         }
-        assertTrue(log.stream().allMatch(l -> l.startsWith("{\"time\":\"") && l.endsWith("}")),
+        assertTrue(log.stream().allMatch(line -> line.startsWith("{\"time\":\"") && line.endsWith("}")),
             log.toString());
-        List<String> life = log.stream().filter(l -> l.contains("\"id\":\"e7\""))
-            .map(l -> l.replaceAll(".*\"event\":\"([^\"]+)\".*", "$1"))
+        List<String> events = log.stream().filter(line -> line.contains("\"id\":\"e7\""))
+            .map(line -> line.replaceAll(".*\"event\":\"([^\"]+)\".*", "$1"))
             .toList();
-        assertEquals(life, List.of("envelope.taken", "envelope.shot", "envelope.fulfilled"));
+        assertEquals(events, List.of("envelope.taken", "envelope.shot", "envelope.fulfilled"));
     }
 
+    /**
+     * Guards against a relay that stops serving because its log output is blocked. Nobody reads the relay's
+     * output here, so its pipe fills up while many connections are logged.
+     */
     @Test
-    public void aFloodOfClientsIsSummedUpAndNobodyWaitsForTheLog() throws Exception {
+    public void blockedLogOutputDelaysNoMessage() throws Exception {
         fixture.endpointWeight = "1000.0";
-        fixture.addEndpoint(1, got -> OK);
-        fixture.operatorConfig = "[log]\nlevel = \"debug\"\nqueue = 16\nform = \"json\"\n[clients]\nconnections = 4\n";
+        fixture.addEndpoint(1, request -> OK);
+        fixture.operatorConfig = "[log]\nlevel = \"debug\"\nqueue = 16\nform = \"json\"\n"
+            + "[clients]\nconnections = 4\n";
         fixture.maxOpenMessages = 500;
-        // Nobody reads what the relay writes: its pipe fills, and a write to it waits for good.
+        // Nobody reads the relay's output: the pipe fills up, and then a write to it blocks forever.
         fixture.leaveOutputUnread = true;
         fixture.start();
         for (int i = 0; i < 400; i++) {
@@ -78,7 +89,7 @@
                 assertEquals(RelayFixture.readResponse(socket).status(), 202);
             }
         }
-        waitUntil("what was dropped is counted", 2000, () -> fixture.statistic("log_dropped") > 0);
-        waitUntil("all delivered", 5000, () -> fixture.statistic("fulfilled") == 400);
+        waitUntil("the relay counts dropped log lines", 2000, () -> fixture.statistic("log_dropped") > 0);
+        waitUntil("all messages are delivered", 5000, () -> fixture.statistic("fulfilled") == 400);
     }
 }
--- a/relay/src/test/java/yewpath/RestartTest.java
+++ b/relay/src/test/java/yewpath/RestartTest.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static yewpath.RelayFixture.OK;
 import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.OK;
 import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
@@ -23,183 +23,232 @@
 import java.util.function.Function;
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
-import yewpath.ledger.LedgerEntry;
 import yewpath.ledger.Ledger;
+import yewpath.ledger.LedgerEntry;
 import yewpath.loop.ClockReading;
 
-/** What a relay has taken on outlives its process. */
+/**
+ * Restarts of the process, after a kill or a shutdown: accepted messages, owed notices and possibly executed
+ * calls must survive them.
+ */
 public final class RestartTest extends RelayFixture.RelayTest {
     private static final ClockReading NOW = new ClockReading("boot", 40, 40);
 
+    /**
+     * Guards against accepted messages that are lost at a restart, or delivered again by the restart after
+     * that.
+     */
     @Test
-    public void whatWasHeldIsDeliveredByTheNextLife() throws Exception {
-        RelayFixture.StubServer gone = new RelayFixture.StubServer(got -> OK);
-        gone.close();
-        fixture.listEndpoint("e1", "127.0.0.1:" + gone.port(), 1);
+    public void openMessagesAreDeliveredAfterARestart() throws Exception {
+        RelayFixture.StubServer unreachable = new RelayFixture.StubServer(request -> OK);
+        unreachable.close();
+        fixture.listEndpoint("e1", "127.0.0.1:" + unreachable.port(), 1);
         fixture.start();
         assertEquals(fixture.submit("r1", "order", 1, 15000), 202);
         assertEquals(fixture.submit("r2", "status", 1, 7900), 202);
         fixture.kill();
-        RelayFixture.StubServer up = fixture.addEndpoint(1, got -> OK);
+        RelayFixture.StubServer healthy = fixture.addEndpoint(1, request -> OK);
         fixture.start();
-        waitUntil("both delivered", 3000, () -> up.requests.size() == 2);
+        waitUntil("both messages are delivered", 3000, () -> healthy.requests.size() == 2);
         Thread.sleep(300);
-        assertTrue(up.requests.stream().anyMatch(g -> "r1".equals(g.id()) && g.body.equals("body of r1")));
+        assertTrue(
+            healthy.requests.stream()
+                .anyMatch(call -> "r1".equals(call.id()) && call.body.equals("body of r1")));
         fixture.kill();
         fixture.start();
         Thread.sleep(500);
-        assertEquals(up.requests.size(), 2, "delivered envelopes are over for good");
+        assertEquals(healthy.requests.size(), 2, "delivered messages were sent again");
         assertTrue(fixture.notices.isEmpty());
     }
 
+    /**
+     * Guards against restored messages that are sent to endpoints of an outdated list. The endpoint begins
+     * to drain while no relay runs, and discovery reports that only after a delay.
+     */
     @Test
-    public void whatIsRestoredWaitsForTheListOfNow() throws Exception {
-        RelayFixture.StubServer drained = fixture.addEndpoint("e1", 1, "plain", got -> NO_RESPONSE);
-        RelayFixture.StubServer other = fixture.addEndpoint("e2", 2, "plain", got -> OK);
+    public void restoredMessagesWaitForTheCurrentList() throws Exception {
+        RelayFixture.StubServer drained = fixture.addEndpoint("e1", 1, "plain", request -> NO_RESPONSE);
+        RelayFixture.StubServer other = fixture.addEndpoint("e2", 2, "plain", request -> OK);
         fixture.start();
         assertEquals(fixture.submit("r1", "status", 1, 7900), 202);
-        waitUntil("it is out", 2000, () -> drained.requests.size() == 1);
+        waitUntil("the endpoint received the first attempt", 2000, () -> drained.requests.size() == 1);
         fixture.kill();
-        // While no process runs the endpoint drains and another takes its place; discovery is slow to say so.
+        // While no relay runs, the endpoint drains and another replaces it; discovery reports this late.
         fixture.watchDelayMillis = 150;
         fixture.initialWatchData = "{\"version\":2,\"full\":false,\"servers\":["
             + fixture.listEntry("e1", drained.address(), 1, "plain", "draining") + ","
             + fixture.listEntry("e3", other.address(), 1, "plain", "up") + "]}";
         fixture.start();
-        waitUntil("it is delivered where the list of now says", 3000, () -> other.requests.size() == 1);
-        assertEquals(drained.requests.size(), 1, "nothing goes where a drain had begun before the start");
+        waitUntil("the message is delivered to the endpoint of the current list", 3000,
+            () -> other.requests.size() == 1);
+        assertEquals(drained.requests.size(), 1,
+            "a message was sent to an endpoint that drained before the start");
     }
 
+    /**
+     * Guards against restored messages that wait forever for a current list because discovery does not
+     * respond.
+     */
     @Test
-    public void whereDiscoveryIsSilentTheOldListHasToDo() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> NO_RESPONSE);
+    public void withoutDiscoveryTheStoredListIsUsed() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
         fixture.start();
         assertEquals(fixture.submit("r1", "status", 1, 7900), 202);
-        waitUntil("it is out", 2000, () -> endpoint.requests.size() == 1);
+        waitUntil("the endpoint received the first attempt", 2000, () -> endpoint.requests.size() == 1);
         fixture.kill();
-        endpoint.responder = got -> OK;
+        endpoint.responder = request -> OK;
         fixture.watchDelayMillis = -1;
         fixture.start();
-        waitUntil("it goes again all the same", 5000, () -> endpoint.requests.size() == 2);
+        waitUntil("the message is sent again", 5000, () -> endpoint.requests.size() == 2);
     }
 
-    /** The settings of the next life are another deployment's: no class, tenant, kind or zone has a name of before. */
+    /**
+     * Guards against accepted messages that are dropped, or sent more than once, because the new
+     * configuration no longer has the names of their class, tenant, kind and zone. Their delivery semantics
+     * are unknown then, so each message gets one attempt at most.
+     */
     @Test
-    public void whatWasTakenOnUnderNamesNowUnknownIsStillTriedOnce() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> NO_RESPONSE);
+    public void messagesOfUnknownClassesGetOneAttempt() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
         fixture.listDrainingEndpoint(2);
         fixture.start();
         assertEquals(fixture.submit("out", "status", 1, 30_000), 202);
-        waitUntil("it is out", 2000, () -> endpoint.requests.size() == 1);
+        waitUntil("the endpoint received the first attempt", 2000, () -> endpoint.requests.size() == 1);
         assertEquals(fixture.submit("untried", "order", 2, 30_000), 202);
         assertEquals(fixture.submit("untold", "status", 2, 30_000), 202);
         fixture.kill();
         for (String name : List.of("status", "order", "serial", "acme", "plain", "bundled", "z")) {
             fixture.renamedConfigNames.put(name, "other-" + name);
         }
-        RelayFixture.StubServer there = new RelayFixture.StubServer(
-            got -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        fixture.listEndpoint("e2", there.address(), 2);
+        RelayFixture.StubServer renamedEndpoint = new RelayFixture.StubServer(
+            request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.listEndpoint("e2", renamedEndpoint.address(), 2);
         fixture.start();
-        waitUntil("each untried one is tried", 3000, () -> there.requests.size() == 2);
-        waitUntil("once, for all that is known of it", 2000,
+        waitUntil("each message without an attempt is sent", 3000,
+            () -> renamedEndpoint.requests.size() == 2);
+        waitUntil("each of them fails after one attempt", 2000,
             () -> fixture.hasOutcomeNotice("untried", "given_up")
                 && fixture.hasOutcomeNotice("untold", "given_up"));
-        waitUntil("what was out may have run", 2000, () -> fixture.hasOutcomeNotice("out", "given_up"));
-        assertEquals(endpoint.requests.size() + there.requests.size(), 3);
+        waitUntil("the message whose outcome is unknown fails", 2000,
+            () -> fixture.hasOutcomeNotice("out", "given_up"));
+        assertEquals(endpoint.requests.size() + renamedEndpoint.requests.size(), 3);
         assertEquals(fixture.submit("fresh", "other-status", 2, 7900), 202);
-        assertEquals(fixture.submit("stale", "status", 2, 7900), 404, "a name of the deployment before");
-        there.close();
+        assertEquals(fixture.submit("stale", "status", 2, 7900), 404,
+            "a message class of the earlier configuration was accepted");
+        renamedEndpoint.close();
     }
 
-    /** Nothing goes on a key before the platform has heard that the one ahead of it has ended. */
+    /**
+     * Guards against messages of one key that overtake each other: after a restart, the next message may go
+     * out only when the platform has acknowledged that the one ahead of it has failed.
+     */
     @Test
-    public void whatFollowsOnAKeyWaitsUntilTheEndAheadOfItIsHeard() throws Exception {
+    public void nextMessageOfAKeyWaitsUntilTheFailureAheadIsAcknowledged() throws Exception {
         fixture.deduplicationMillis = 1_000;
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> NO_RESPONSE);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
         fixture.start();
-        assertEquals(fixture.exchange(keyed("first", 30_000)).status(), 202);
-        waitUntil("it is out", 2000, () -> endpoint.requests.size() == 1);
-        assertEquals(fixture.exchange(keyed("second", 30_000)).status(), 202);
+        assertEquals(fixture.exchange(messageWithKey("first", 30_000)).status(), 202);
+        waitUntil("the endpoint received the first attempt", 2000, () -> endpoint.requests.size() == 1);
+        assertEquals(fixture.exchange(messageWithKey("second", 30_000)).status(), 202);
         fixture.kill();
-        endpoint.responder = got -> OK;
+        endpoint.responder = request -> OK;
         fixture.noticeStatus = 0;
         RelayFixture.pause(1_000);
         fixture.start();
-        waitUntil("its end was told, and again", 4000, () -> fixture.discovery.postRequests().size() >= 3);
-        assertEquals(endpoint.requests.size(), 1, "it went while the first was not over");
+        waitUntil("the notice was sent and repeated", 4000,
+            () -> fixture.discovery.postRequests().size() >= 3);
+        assertEquals(endpoint.requests.size(), 1,
+            "the second message was sent before the first was completed");
         fixture.noticeStatus = 204;
-        waitUntil("it goes once that is heard", 4000, () -> endpoint.requests.size() == 2);
+        waitUntil("the second message is sent after the acknowledgement", 4000,
+            () -> endpoint.requests.size() == 2);
         assertEquals(endpoint.requests.get(1).id(), "second");
         assertTrue(fixture.hasOutcomeNotice("first", "given_up"));
     }
 
-    private static String keyed(String id, int withinMs) {
-        return RelayFixture.messageRequest(id, "serial", 1, withinMs, "x").replaceFirst("\r\n",
+    private static String messageWithKey(String id, int withinMillis) {
+        return RelayFixture.messageRequest(id, "serial", 1, withinMillis, "x").replaceFirst("\r\n",
             "\r\nAffinity-Key: doc\r\n");
     }
 
+    /**
+     * Guards against an at-most-once message that is sent again after a kill, although the endpoint may have
+     * executed the call that was in progress. An idempotent message must be sent again.
+     */
     @Test
-    public void aCallThatWasOutMayHaveRun() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> NO_RESPONSE);
+    public void callInProgressAtAKillMayHaveBeenExecuted() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
         fixture.start();
         fixture.submit("k1", "order", 1, 15000);
         fixture.submit("k2", "status", 1, 7900);
-        waitUntil("both out", 2000, () -> endpoint.requests.size() == 2);
+        waitUntil("both attempts arrive", 2000, () -> endpoint.requests.size() == 2);
         fixture.kill();
-        endpoint.responder = got -> OK;
+        endpoint.responder = request -> OK;
         fixture.start();
-        waitUntil("a once-only one is given up", 2000, () -> fixture.hasOutcomeNotice("k1", "given_up"));
-        waitUntil("a repeatable one goes again", 2000, () -> endpoint.requests.size() == 3);
+        waitUntil("the at-most-once message fails", 2000, () -> fixture.hasOutcomeNotice("k1", "given_up"));
+        waitUntil("the idempotent message is sent again", 2000, () -> endpoint.requests.size() == 3);
         Thread.sleep(300);
-        assertEquals(endpoint.requests.stream().filter(g -> "k1".equals(g.id())).count(), 1);
+        assertEquals(endpoint.requests.stream().filter(call -> "k1".equals(call.id())).count(), 1);
         assertEquals(fixture.notices.size(), 1);
     }
 
+    /**
+     * Guards against an at-most-once message that fails at a restart although its only attempt was refused,
+     * and so certainly not executed.
+     */
     @Test
-    public void aCallThatWasTurnedAwayLeavesNoDoubt() throws Exception {
+    public void refusedAttemptLeavesNoUncertainty() throws Exception {
         RelayFixture.StubServer endpoint = fixture.addEndpoint(1,
-            got -> "HTTP/1.1 429 X\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
+            request -> "HTTP/1.1 429 X\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
         fixture.start();
         fixture.submit("k1", "order", 1, 15000);
-        waitUntil("turned away", 2000, () -> endpoint.requests.size() == 1);
+        waitUntil("the attempt is refused", 2000, () -> endpoint.requests.size() == 1);
         Thread.sleep(100);
         fixture.kill();
-        endpoint.responder = got -> OK;
+        endpoint.responder = request -> OK;
         fixture.start();
-        waitUntil("sent again", 4000, () -> endpoint.requests.size() == 2);
+        waitUntil("the message is sent again", 4000, () -> endpoint.requests.size() == 2);
         assertTrue(fixture.notices.isEmpty());
     }
 
+    /**
+     * Guards against a restored message whose attempt can't be cancelled when its call slot is needed: its
+     * endpoint does not respond and all slots are in use.
+     */
     @Test
-    public void aShotOfARestoredEnvelopeCanBeCalledOff() throws Exception {
-        String full = "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n";
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> full);
-        RelayFixture.StubServer other = fixture.addEndpoint(2, got -> NO_RESPONSE);
-        RelayFixture.StubServer healthy = fixture.addEndpoint(3, got -> OK);
+    public void attemptOfARestoredMessageCanBeCancelled() throws Exception {
+        String overloaded = "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n";
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> overloaded);
+        RelayFixture.StubServer other = fixture.addEndpoint(2, request -> NO_RESPONSE);
+        RelayFixture.StubServer healthy = fixture.addEndpoint(3, request -> OK);
         fixture.start();
         fixture.submit("k1", "order", 1, 18000);
-        waitUntil("turned away", 2000, () -> endpoint.requests.size() == 1);
+        waitUntil("the attempt is refused", 2000, () -> endpoint.requests.size() == 1);
         Thread.sleep(100);
         fixture.kill();
-        endpoint.responder = got -> NO_RESPONSE;
+        endpoint.responder = request -> NO_RESPONSE;
         fixture.start();
-        waitUntil("sent again", 4000, () -> endpoint.requests.size() == 2);
+        waitUntil("the message is sent again", 4000, () -> endpoint.requests.size() == 2);
         for (int i = 0; i < 6; i++) {
             fixture.submit("a" + i, "order", 1, 18000);
             fixture.submit("b" + i, "order", 2, 18000);
         }
-        waitUntil("all slots taken", 6000, () -> endpoint.requests.size() + other.requests.size() >= 9);
+        waitUntil("all call slots are in use", 6000,
+            () -> endpoint.requests.size() + other.requests.size() >= 9);
         fixture.submit("c", "status", 3, 7900);
-        waitUntil("the oldest call makes room", 8000,
+        waitUntil("the oldest call is cancelled", 8000,
             () -> fixture.hasOutcomeNotice("k1", "given_up") && healthy.requests.size() == 1);
         waitUntil("its connection is closed", 1000, () -> !endpoint.requests.get(1).open);
     }
 
+    /**
+     * Guards against messages of one key that are reordered by a restart. After an attempt with unknown
+     * outcome, the key also has to pause before its next message is sent.
+     */
     @Test
-    public void theOrderOfAKeyOutlivesTheProcess() throws Exception {
+    public void orderOfAKeySurvivesARestart() throws Exception {
         fixture.operatorConfig = "[log]\nlevel = \"debug\"\n";
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> NO_RESPONSE);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> NO_RESPONSE);
         fixture.start();
         for (int i = 1; i <= 3; i++) {
             assertEquals(fixture
@@ -207,64 +256,77 @@
                     "Affinity-Key: 5c0f6e1a00000001\r\nTenant:"))
                 .status(), 202);
         }
-        waitUntil("the first is out", 2000, () -> endpoint.requests.size() == 1);
+        waitUntil("the first message arrives", 2000, () -> endpoint.requests.size() == 1);
         Thread.sleep(300);
         assertEquals(endpoint.requests.size(), 1);
         fixture.kill();
-        endpoint.responder = got -> OK;
+        endpoint.responder = request -> OK;
         fixture.start();
-        waitUntil("all delivered", 5000, () -> endpoint.requests.size() == 4);
+        waitUntil("all messages are delivered", 5000, () -> endpoint.requests.size() == 4);
         assertEquals(endpoint.requests.stream().map(RelayFixture.ReceivedRequest::id).toList(),
             List.of("s1", "s1", "s2", "s3"));
         assertEquals(endpoint.requests.get(3).headers.get("affinity-key"), "5c0f6e1a00000001");
-        // By the relay's own clock, from when it took the key up again: how soon the first went out doesn't matter.
-        assertTrue(millisOf("envelope.shot", "s2") - millisOf("envelope.restored", "s1") >= 300,
-            "the key did not rest");
+        // Measured by the relay's log from when it restored the key, however late the first attempt was sent.
+        assertTrue(millisOfLogLine("envelope.shot", "s2") - millisOfLogLine("envelope.restored", "s1") >= 300,
+            "the key did not pause");
     }
 
-    private long millisOf(String event, String id) throws IOException {
-        String line = fixture.logLines().stream().filter(l -> l.contains(event) && l.contains('"' + id + '"'))
+    /** Returns the Unix time in milliseconds of the first log line with this event and message id. */
+    private long millisOfLogLine(String event, String id) throws IOException {
+        String logLine = fixture.logLines().stream()
+            .filter(line -> line.contains(event) && line.contains('"' + id + '"'))
             .findFirst().orElseThrow();
-        return LocalDateTime.parse(line.substring(0, 23).replace(' ', 'T')).toInstant(ZoneOffset.UTC)
+        return LocalDateTime.parse(logLine.substring(0, 23).replace(' ', 'T')).toInstant(ZoneOffset.UTC)
             .toEpochMilli();
     }
 
+    /**
+     * Guards against an idempotency key that is lost at a restart, so that the endpoint can't recognise the
+     * repeated message, and against one that is made up where the client gave none.
+     */
     @Test
-    public void theTagOfAnEnvelopeIsPassedOnInEveryLife() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint("e1", 1, "plain", got -> NO_RESPONSE);
-        RelayFixture.StubServer bundles = fixture.addEndpoint("e2", 2, "bundled", got -> NO_RESPONSE);
+    public void idempotencyKeySurvivesARestart() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint("e1", 1, "plain", request -> NO_RESPONSE);
+        RelayFixture.StubServer batchEndpoint = fixture.addEndpoint("e2", 2, "bundled",
+            request -> NO_RESPONSE);
         fixture.start();
-        String tagged = "Idempotency-Key: 0268084139284ccf896de4ac5653e423\r\nTenant:";
+        String withIdempotencyKey = "Idempotency-Key: 0268084139284ccf896de4ac5653e423\r\nTenant:";
         assertEquals(
             fixture
-                .exchange(
-                    RelayFixture.messageRequest("t1", "serial", 1, 15000, "x").replace("Tenant:", tagged))
+                .exchange(RelayFixture.messageRequest("t1", "serial", 1, 15000, "x").replace("Tenant:",
+                    withIdempotencyKey))
                 .status(),
             202);
-        waitUntil("it is out", 2000, () -> endpoint.requests.size() == 1);
+        waitUntil("the endpoint received the first attempt", 2000, () -> endpoint.requests.size() == 1);
         fixture.kill();
-        endpoint.responder = got -> OK;
+        endpoint.responder = request -> OK;
         fixture.start();
-        waitUntil("it goes again", 5000, () -> endpoint.requests.size() == 2);
+        waitUntil("the message is sent again", 5000, () -> endpoint.requests.size() == 2);
         assertEquals(
-            endpoint.requests.stream().map(got -> got.headers.get("idempotency-key")).distinct().toList(),
-            List.of("0268084139284ccf896de4ac5653e423"), "the endpoint can't know it again");
+            endpoint.requests.stream().map(request -> request.headers.get("idempotency-key")).distinct()
+                .toList(),
+            List.of("0268084139284ccf896de4ac5653e423"), "the idempotency key was changed");
         assertEquals(fixture.submit("first", "status", 2, 7900), 202);
-        waitUntil("a call is out", 2000, () -> bundles.requests.size() == 1);
-        assertTrue(bundles.requests.get(0).headers.get("idempotency-key") == null, "a tag nobody gave");
+        waitUntil("the endpoint received a call", 2000, () -> batchEndpoint.requests.size() == 1);
+        assertTrue(batchEndpoint.requests.get(0).headers.get("idempotency-key") == null,
+            "an idempotency key that no client gave");
     }
 
+    /**
+     * Guards against a notice that is lost at a restart before the platform has acknowledged it, or sent
+     * again after that.
+     */
     @Test
-    public void aNoticeOwedIsToldByTheNextLife() throws Exception {
-        fixture.addEndpoint(1, got -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+    public void unacknowledgedNoticeIsSentAfterARestart() throws Exception {
+        fixture.addEndpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
         fixture.noticeStatus = 500;
         fixture.start();
         fixture.submit("n1", "order", 1, 5000);
-        waitUntil("tried", 2000, () -> fixture.discovery.postRequests().size() > 0);
+        waitUntil("a notice is sent", 2000, () -> fixture.discovery.postRequests().size() > 0);
         fixture.kill();
         fixture.noticeStatus = 204;
         fixture.start();
-        waitUntil("told", 2000, () -> fixture.hasOutcomeNotice("n1", "given_up"));
+        waitUntil("the notice is acknowledged", 2000, () -> fixture.hasOutcomeNotice("n1", "given_up"));
         Thread.sleep(300);
         fixture.kill();
         fixture.start();
@@ -272,20 +334,28 @@
         assertEquals(fixture.notices.size(), 1);
     }
 
+    /**
+     * Guards against a message that stays open after a restart although its deadline passed while no relay
+     * ran.
+     */
     @Test
-    public void whatExpiredMeanwhileHasItsEndAtOnce() throws Exception {
+    public void messageThatExpiredMeanwhileHasItsOutcomeAtOnce() throws Exception {
         fixture.listDrainingEndpoint(1);
         fixture.start();
         fixture.submit("e1", "status", 1, 900);
         fixture.kill();
         Thread.sleep(900);
         fixture.start();
-        waitUntil("ended", 1000, () -> fixture.hasOutcomeNotice("e1", "handed_back"));
+        waitUntil("the message is rejected", 1000, () -> fixture.hasOutcomeNotice("e1", "handed_back"));
     }
 
+    /**
+     * Guards against a shutdown that accepts new messages, exceeds its time limit, loses open messages, or
+     * cuts off the call in progress, so that its message is sent again or fails.
+     */
     @Test
-    public void endsInOrderWhenAsked() throws Exception {
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> {
+    public void shutdownCompletesCallsAndKeepsOpenMessages() throws Exception {
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> {
             RelayFixture.pause(1000);
             return OK;
         });
@@ -295,8 +365,8 @@
             assertEquals(RelayFixture.exchange(kept, RelayFixture.messageRequest("s1", "order", 1, 9000, "x"))
                 .status(), 202);
             assertEquals(fixture.submit("s2", "status", 9, 7900), 202);
-            waitUntil("out", 2000, () -> endpoint.requests.size() == 1);
-            long start = System.nanoTime();
+            waitUntil("the call is in progress", 2000, () -> endpoint.requests.size() == 1);
+            long startNanos = System.nanoTime();
             fixture.process.destroy();
             Thread.sleep(150);
             assertEquals(fixture.exchange("GET /health/ready HTTP/1.1\r\n\r\n").status(), 503);
@@ -305,39 +375,43 @@
             assertEquals(refused.status(), 503);
             assertEquals(refused.headers().get("connection"), "close");
             assertTrue(fixture.process.waitFor(3500, TimeUnit.MILLISECONDS));
-            assertTrue(System.nanoTime() - start < 3_500_000_000L);
+            assertTrue(System.nanoTime() - startNanos < 3_500_000_000L);
             assertEquals(fixture.process.exitValue(), 0);
         }
-        RelayFixture.StubServer other = fixture.addEndpoint(9, got -> OK);
+        RelayFixture.StubServer other = fixture.addEndpoint(9, request -> OK);
         fixture.start();
-        waitUntil("what was left is delivered", 3000, () -> other.requests.size() == 1);
+        waitUntil("the remaining message is delivered", 3000, () -> other.requests.size() == 1);
         Thread.sleep(200);
         assertEquals(endpoint.requests.size(), 1);
         assertTrue(fixture.notices.isEmpty(), "" + fixture.notices);
     }
 
+    /**
+     * Guards against messages that are lost, and at-most-once messages that are sent twice, when the process
+     * is killed at any moment, also while it rewrites the ledger.
+     */
     @Test
-    public void killedAtAnyMomentNothingIsLostAndNothingRunsTwice() throws Exception {
-        // A small disk, so that the ledger is written anew again and again between the kills.
+    public void killAtAnyMomentLosesNoMessageAndRepeatsNoAtMostOnceMessage() throws Exception {
+        // With a small disk limit the ledger is rewritten often between the kills.
         fixture.extraLimits = ",\"disk_mb\":0.12";
-        Function<RelayFixture.ReceivedRequest, String> slow = got -> {
-            RelayFixture.pause(5 + Math.floorMod(got.id().hashCode(), 60));
+        Function<RelayFixture.ReceivedRequest, String> slow = request -> {
+            RelayFixture.pause(5 + Math.floorMod(request.id().hashCode(), 60));
             return OK;
         };
         RelayFixture.StubServer one = fixture.addEndpoint(1, slow);
         RelayFixture.StubServer two = fixture.addEndpoint(2, slow);
         fixture.start();
-        Set<String> taken = ConcurrentHashMap.newKeySet();
-        AtomicBoolean on = new AtomicBoolean(true);
+        Set<String> accepted = ConcurrentHashMap.newKeySet();
+        AtomicBoolean running = new AtomicBoolean(true);
         Thread client = new Thread(() -> {
-            for (int i = 0; on.get(); i++) {
+            for (int i = 0; running.get(); i++) {
                 String id = "i" + i;
                 try {
                     if (fixture.exchange(
                         RelayFixture.messageRequest(id, i % 2 == 0 ? "order" : "status", 1 + i / 2 % 2, 7000,
                             "y".repeat(1500)))
                         .status() == 202) {
-                        taken.add(id);
+                        accepted.add(id);
                     }
                 } catch (IOException down) {
                     continue;
@@ -353,55 +427,63 @@
             fixture.start();
         }
         Thread.sleep(300);
-        on.set(false);
+        running.set(false);
         client.join();
-        assertTrue(taken.size() > 50, taken.size() + " taken");
-        waitUntil("each has its end", 9000,
-            () -> taken.stream().allMatch(id -> fixture.hasOutcomeNotice(id, "outcome")
-                || one.requests.stream().anyMatch(g -> id.equals(g.id()))
-                || two.requests.stream().anyMatch(g -> id.equals(g.id()))));
-        waitUntil("nothing is owed any more", 9000,
+        assertTrue(accepted.size() > 50, accepted.size() + " accepted");
+        waitUntil("each accepted message has its outcome", 9000,
+            () -> accepted.stream().allMatch(id -> fixture.hasOutcomeNotice(id, "outcome")
+                || one.requests.stream().anyMatch(call -> id.equals(call.id()))
+                || two.requests.stream().anyMatch(call -> id.equals(call.id()))));
+        waitUntil("no message is open and no notice unacknowledged", 9000,
             () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
         List<RelayFixture.ReceivedRequest> calls = Stream.concat(one.requests.stream(), two.requests.stream())
             .toList();
-        for (String id : taken) {
-            long sent = calls.stream().filter(g -> id.equals(g.id())).count();
-            boolean onceOnly = Integer.parseInt(id.substring(1)) % 2 == 0;
-            assertTrue(!onceOnly || sent <= 1, id + " was sent " + sent + " times");
+        for (String id : accepted) {
+            long sent = calls.stream().filter(call -> id.equals(call.id())).count();
+            boolean atMostOnce = Integer.parseInt(id.substring(1)) % 2 == 0;
+            assertTrue(!atMostOnce || sent <= 1, id + " was sent " + sent + " times");
         }
     }
 
+    /**
+     * Guards against a ledger that exceeds its disk limit, or drops open messages to stay within it. When it
+     * is full, new messages are refused until open ones are delivered.
+     */
     @Test
-    public void aFullLedgerRefusesNewOnesAndKeepsTheOld() throws Exception {
+    public void fullLedgerRefusesNewMessagesAndKeepsOpenOnes() throws Exception {
         fixture.extraLimits = ",\"disk_mb\":0.3";
         fixture.listDrainingEndpoint(1);
         fixture.start();
-        int taken = 0;
+        int accepted = 0;
         int refused = 0;
         for (int i = 0; i < 40; i++) {
             RelayFixture.Response answer = fixture
                 .exchange(RelayFixture.messageRequest("f" + i, "status", 1, 7900, "z".repeat(20_000)));
-            taken += answer.status() == 202 ? 1 : 0;
+            accepted += answer.status() == 202 ? 1 : 0;
             refused += answer.status() == 503 && "1.000".equals(answer.headers().get("retry-after")) ? 1 : 0;
-            assertTrue(folderBytes() <= 0.3 * (1 << 20), folderBytes() + " bytes on disk");
+            assertTrue(stateFolderBytes() <= 0.3 * (1 << 20), stateFolderBytes() + " bytes on disk");
         }
-        assertTrue(taken >= 4 && refused >= 20, taken + " taken, " + refused + " refused");
-        RelayFixture.StubServer up = new RelayFixture.StubServer(got -> OK);
-        fixture.publish(true, fixture.listEntry("e1", up.address(), 1, "plain", "up"));
-        int all = taken;
-        waitUntil("the old ones are delivered", 7000, () -> up.requests.size() == all);
+        assertTrue(accepted >= 4 && refused >= 20, accepted + " accepted, " + refused + " refused");
+        RelayFixture.StubServer healthy = new RelayFixture.StubServer(request -> OK);
+        fixture.publish(true, fixture.listEntry("e1", healthy.address(), 1, "plain", "up"));
+        int expected = accepted;
+        waitUntil("the open messages are delivered", 7000, () -> healthy.requests.size() == expected);
         assertEquals(fixture.submit("again", "status", 1, 5000), 202);
-        up.close();
+        healthy.close();
     }
 
+    /**
+     * Guards against a disk limit that is checked only once per round of the event loop: the suspended relay
+     * finds all messages in one round.
+     */
     @Test
-    public void aRushAtOneMomentKeepsWithinTheDisk() throws Exception {
+    public void manyMessagesInOneRoundStayWithinTheDiskLimit() throws Exception {
         fixture.extraLimits = ",\"disk_mb\":0.3";
         fixture.listDrainingEndpoint(1);
         fixture.start();
         List<Socket> sockets = new ArrayList<>();
         try {
-            // Stopped meanwhile, the relay finds all of them in one round.
+            // The relay is suspended, so that it finds all of them in one round.
             for (int i = 0; i < 40; i++) {
                 sockets.add(fixture.connect());
                 RelayFixture.exchange(sockets.get(i), "GET /health/live HTTP/1.1\r\n\r\n");
@@ -413,12 +495,12 @@
                         .getBytes(StandardCharsets.ISO_8859_1));
             }
             fixture.signal("CONT");
-            int taken = 0;
+            int accepted = 0;
             for (Socket socket : sockets) {
-                taken += RelayFixture.readResponse(socket).status() == 202 ? 1 : 0;
+                accepted += RelayFixture.readResponse(socket).status() == 202 ? 1 : 0;
             }
-            assertTrue(taken >= 4 && folderBytes() <= 0.3 * (1 << 20),
-                taken + " taken, " + folderBytes() + " bytes");
+            assertTrue(accepted >= 4 && stateFolderBytes() <= 0.3 * (1 << 20),
+                accepted + " accepted, " + stateFolderBytes() + " bytes");
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
@@ -426,14 +508,19 @@
         }
     }
 
-    private long folderBytes() throws Exception {
+    /** Returns the size of the files in the state folder, each rounded up to blocks of 512 bytes. */
+    private long stateFolderBytes() throws Exception {
         try (Stream<Path> files = Files.list(fixture.directory.resolve("state"))) {
-            return files.mapToLong(f -> (f.toFile().length() + 511) / 512 * 512).sum();
+            return files.mapToLong(file -> (file.toFile().length() + 511) / 512 * 512).sum();
         }
     }
 
+    /**
+     * Guards against a ledger that can't be opened, or replays a partial or corrupt record, after a write
+     * was cut short. The file is cut at every length, and then one byte of it is changed.
+     */
     @Test
-    public void aLedgerCutAtAnyByteOpens() throws Exception {
+    public void ledgerTruncatedAtAnyByteOpens() throws Exception {
         Path folder = fixture.directory.resolve("cut");
         Ledger ledger = new Ledger(folder, 400_000, 600_000, 512, NOW);
         int clockLength = (int) Files.size(folder.resolve("ledger"));
@@ -442,44 +529,51 @@
         LedgerEntry second = ledger.createEntry("i2", "order", "t", null, null, "8", 99, new byte[0]);
         ledger.recordAccepted(first);
         ledger.flush();
-        long one = Files.size(folder.resolve("ledger"));
+        long lengthWithFirst = Files.size(folder.resolve("ledger"));
         ledger.recordAccepted(second);
         ledger.recordAttempt(first, 50, "z");
         ledger.recordNoticeOwed(second, true, 1234);
         ledger.flush();
-        byte[] whole = Files.readAllBytes(folder.resolve("ledger"));
-        for (int length = 0; length <= whole.length; length++) {
-            Files.write(folder.resolve("ledger"), Arrays.copyOf(whole, length));
-            Ledger cut = new Ledger(folder, 400_000, 600_000, 512, NOW);
-            assertEquals(cut.size() >= 1, length >= one, "cut at " + length);
-            if (length == whole.length) {
-                LedgerEntry back = cut.entries().iterator().next();
+        byte[] complete = Files.readAllBytes(folder.resolve("ledger"));
+        for (int length = 0; length <= complete.length; length++) {
+            Files.write(folder.resolve("ledger"), Arrays.copyOf(complete, length));
+            Ledger truncated = new Ledger(folder, 400_000, 600_000, 512, NOW);
+            assertEquals(truncated.size() >= 1, length >= lengthWithFirst, "truncated to length " + length);
+            if (length == complete.length) {
+                LedgerEntry restored = truncated.entries().iterator().next();
                 assertEquals(
-                    back.attempts + " " + back.uncertainSinceMicros + back.uncertainZone + " "
-                        + new String(back.body)
-                        + back.idempotencyKey,
+                    restored.attempts + " " + restored.uncertainSinceMicros + restored.uncertainZone + " "
+                        + new String(restored.body)
+                        + restored.idempotencyKey,
                     "1 50z abct-1");
                 assertTrue(
-                    cut.entries().stream().anyMatch(e -> e.id.equals("i2") && e.idempotencyKey == null),
-                    "a tag nobody gave");
+                    truncated.entries().stream()
+                        .anyMatch(entry -> entry.id.equals("i2") && entry.idempotencyKey == null),
+                    "an idempotency key that no client gave");
                 assertTrue(
-                    cut.entries().stream()
-                        .anyMatch(e -> e.noticeOwed && e.rejected && e.retryAfterMicros == 1234));
+                    truncated.entries().stream()
+                        .anyMatch(
+                            entry -> entry.noticeOwed && entry.rejected && entry.retryAfterMicros == 1234));
             }
         }
-        whole[clockLength + 20] ^= 1;
-        Files.write(folder.resolve("ledger"), whole);
+        complete[clockLength + 20] ^= 1;
+        Files.write(folder.resolve("ledger"), complete);
         assertEquals(new Ledger(folder, 400_000, 600_000, 512, NOW).size(), 0,
-            "a record with a wrong sum was read");
+            "a record with a wrong checksum was replayed");
     }
 
+    /**
+     * Guards against a reload that interrupts connections and calls, or an invalid configuration that takes
+     * effect. A new discovery address must apply to the list and to notices, also to those that the old
+     * address has not acknowledged.
+     */
     @Test
-    public void aNewConfigurationMovesDiscoveryAndNothingElse() throws Exception {
-        RelayFixture.StubServer slow = fixture.addEndpoint(1, got -> {
+    public void reloadMovesDiscoveryAndNothingElse() throws Exception {
+        RelayFixture.StubServer slow = fixture.addEndpoint(1, request -> {
             RelayFixture.pause(700);
             return OK;
         });
-        fixture.addEndpoint(2, got -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.addEndpoint(2, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
         fixture.environment.put("NODE_DISCOVERY", fixture.discovery.address());
         fixture.noticeStatus = 0;
         fixture.listDrainingEndpoint(9);
@@ -490,80 +584,97 @@
             assertEquals(RelayFixture
                 .exchange(client, RelayFixture.messageRequest("m2", "status", 9, 7900, "x")).status(), 202);
             fixture.submit("m3", "order", 2, 9000);
-            waitUntil("the old address leaves a notice without answer", 2000,
+            waitUntil("the old address does not respond to a notice", 2000,
                 () -> fixture.discovery.postRequests().size() == 1);
             fixture.reload("{\"discovery\":");
-            waitUntil("a bad file is told", 2000,
+            waitUntil("the relay logs that it refused the invalid file", 2000,
                 () -> Files.readString(fixture.directory.resolve("log")).contains("relay.reload_refused"));
-            assertEquals(fixture.watchRequests.size(), 1, "a bad file had effect");
-            RelayFixture.StubServer old = fixture.discovery;
-            RelayFixture.StubServer moved = fixture.replaceDiscovery();
+            assertEquals(fixture.watchRequests.size(), 1, "an invalid file took effect");
+            RelayFixture.StubServer oldDiscovery = fixture.discovery;
+            RelayFixture.StubServer newDiscovery = fixture.replaceDiscovery();
             fixture.noticeStatus = 204;
             fixture.reload(fixture.config());
-            waitUntil("the list is followed there", 1000, () -> fixture.watchRequests.size() == 2);
+            waitUntil("the list is followed at the new address", 1000,
+                () -> fixture.watchRequests.size() == 2);
             assertTrue(fixture.watchRequests.get(1).contains("since=1"), "" + fixture.watchRequests);
-            waitUntil("notices go there", 1000,
-                () -> fixture.hasOutcomeNotice("m3", "given_up") && moved.postRequests().size() > 0);
-            int before = old.requests.size();
-            RelayFixture.StubServer up = new RelayFixture.StubServer(got -> OK);
-            fixture.publish(false, fixture.listEntry("e9", up.address(), 9, "plain", "up"));
-            waitUntil("what was held is delivered where the new one says", 2000,
-                () -> up.requests.size() == 1);
+            waitUntil("notices go to the new address", 1000,
+                () -> fixture.hasOutcomeNotice("m3", "given_up") && newDiscovery.postRequests().size() > 0);
+            int oldRequestCount = oldDiscovery.requests.size();
+            RelayFixture.StubServer healthy = new RelayFixture.StubServer(request -> OK);
+            fixture.publish(false, fixture.listEntry("e9", healthy.address(), 9, "plain", "up"));
+            waitUntil("the open message is delivered to the endpoint of the new list", 2000,
+                () -> healthy.requests.size() == 1);
             assertEquals(RelayFixture
                 .exchange(client, RelayFixture.messageRequest("m4", "status", 9, 7900, "x")).status(), 202);
-            waitUntil("the call that was out came to its end", 2000, () -> fixture.statistic("open") == 0);
+            waitUntil("the call in progress is completed", 2000, () -> fixture.statistic("open") == 0);
             assertEquals(slow.requests.size() + " " + slow.connections.get(), "1 1");
-            assertEquals(old.requests.size(), before, "the old address is still asked");
-            up.close();
-            old.close();
+            assertEquals(oldDiscovery.requests.size(), oldRequestCount,
+                "the old address still receives requests");
+            healthy.close();
+            oldDiscovery.close();
         }
     }
 
+    /**
+     * Guards against a notice that waits for a long retry delay of the old address although discovery has a
+     * new one.
+     */
     @Test
-    public void aNoticeInAPauseGoesAtOnceWhereDiscoveryMoves() throws Exception {
+    public void delayedNoticeIsSentAtOnceToANewAddress() throws Exception {
         fixture.operatorConfig = "[discovery]\nretry_first = \"30 s\"\nretry_most = \"30 s\"\n";
-        fixture.addEndpoint(1, got -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.addEndpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
         fixture.noticeStatus = 500;
         fixture.start();
         fixture.submit("n1", "order", 1, 9000);
-        waitUntil("its pause has begun", 2000, () -> fixture.hasLogged("notice.unheard"));
-        RelayFixture.StubServer old = fixture.discovery;
+        waitUntil("the retry delay has begun", 2000, () -> fixture.hasLogged("notice.unheard"));
+        RelayFixture.StubServer oldDiscovery = fixture.discovery;
         fixture.replaceDiscovery();
         fixture.noticeStatus = 204;
         fixture.reload(fixture.config());
-        waitUntil("it goes to the new address", 3000, () -> fixture.hasOutcomeNotice("n1", "given_up"));
-        assertEquals(old.postRequests().size(), 1);
-        old.close();
+        waitUntil("the notice is sent to the new address", 3000,
+            () -> fixture.hasOutcomeNotice("n1", "given_up"));
+        assertEquals(oldDiscovery.postRequests().size(), 1);
+        oldDiscovery.close();
     }
 
+    /**
+     * Guards against a heap that does not fit the configured memory: the start script must read the
+     * configuration that a relay gets.
+     */
     @Test
-    public void theHeapFollowsTheMemoryThatIsConfigured() throws Exception {
+    public void heapFollowsTheConfiguredMemory() throws Exception {
         Path java = Files.writeString(fixture.directory.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
         assertTrue(java.toFile().setExecutable(true));
-        for (int told : new int[]{192, 96}) {
+        for (int memoryMegabytes : new int[]{192, 96}) {
             Path config = Files.writeString(fixture.directory.resolve("c.json"),
-                fixture.config().replace(":192", ": " + told));
+                fixture.config().replace(":192", ": " + memoryMegabytes));
             ProcessBuilder run = new ProcessBuilder("sh", "../deploy/run.sh");
             run.environment().put("PATH", fixture.directory + ":" + System.getenv("PATH"));
             run.environment().put("NODE_CONFIG", config.toString());
             String flags = new String(run.start().getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(flags.contains("-Xmx" + told * 2 / 5 + "m ") && flags.contains("serve"), flags);
+            assertTrue(flags.contains("-Xmx" + memoryMegabytes * 2 / 5 + "m ") && flags.contains("serve"),
+                flags);
         }
     }
 
+    /**
+     * Guards against a relay that starts with an invalid configuration, or ends with a stack trace instead
+     * of one line that names the error.
+     */
     @Test
-    public void badConfigurationEndsWithOneLine() throws Exception {
-        String good = fixture.config();
-        for (String bad : new String[]{"{", good.replace("8c1f30d27a5be964", "no"),
-            good.replace("\"listen\"", "\"l\""),
-            good.replace("request_classes", "classes"), good.replace("\"disk_mb\":3", "\"disk_mb\":\"much\""),
-            good.replace("\"version\":1,", ""),
-            good.replace(RelayFixture.RELAY_ADDRESS + ":" + fixture.port, "nowhere")}) {
-            Path file = Files.writeString(fixture.directory.resolve("bad.json"), bad);
+    public void invalidConfigurationEndsWithOneLine() throws Exception {
+        String validConfig = fixture.config();
+        for (String invalidConfig : new String[]{"{", validConfig.replace("8c1f30d27a5be964", "no"),
+            validConfig.replace("\"listen\"", "\"l\""),
+            validConfig.replace("request_classes", "classes"),
+            validConfig.replace("\"disk_mb\":3", "\"disk_mb\":\"much\""),
+            validConfig.replace("\"version\":1,", ""),
+            validConfig.replace(RelayFixture.RELAY_ADDRESS + ":" + fixture.port, "nowhere")}) {
+            Path file = Files.writeString(fixture.directory.resolve("bad.json"), invalidConfig);
             Process process = RelayFixture.yewpathCommand("serve", "--config", file.toString()).start();
-            String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(process.waitFor() != 0, bad);
-            assertEquals(said.lines().count(), 1, said);
+            String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertTrue(process.waitFor() != 0, invalidConfig);
+            assertEquals(output.lines().count(), 1, output);
         }
         Process version = RelayFixture.yewpathCommand("version").start();
         assertTrue(new String(version.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
--- a/relay/src/test/java/yewpath/StateFolderTest.java
+++ b/relay/src/test/java/yewpath/StateFolderTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 import static yewpath.FaultShim.EIO;
 import static yewpath.FaultShim.ENOSPC;
-import static yewpath.RelayFixture.OK;
 import static yewpath.RelayFixture.NO_RESPONSE;
+import static yewpath.RelayFixture.OK;
 import static yewpath.RelayFixture.waitUntil;
 
 import java.io.IOException;
@@ -21,62 +21,76 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The folder that outlives the process cannot be written, holds what it should not, or is another all at once. */
+/**
+ * Failures of the state folder, which outlives the process: it can't be written or read, contains unexpected
+ * files, or is replaced.
+ */
 public final class StateFolderTest extends RelayFixture.RelayTest {
     private static final String REFUSED = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
 
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] writeFaults() {
         return new Object[][]{{"write=" + EIO, ""}, {"write=" + ENOSPC, "partial=1"},
             {"write=" + EIO, "open=" + EIO}, {"write=" + ENOSPC, "rename=" + EIO}};
     }
 
-    @Test(dataProvider = "faults")
-    public void writesThatFailForAWhileEndNoProcessAndLoseNothing(String fault, String more)
+    /**
+     * Guards against a relay that exits, accepts messages it can't record, or loses or repeats messages,
+     * when writes to its folder fail for a while. Some faults also leave a partial record, or make a new
+     * file impossible.
+     */
+    @Test(dataProvider = "writeFaults")
+    public void temporaryWriteFailuresLoseNoMessageAndEndNoProcess(String fault, String furtherFault)
         throws Exception {
         FaultShim shim = new FaultShim(fixture);
-        Set<String> ran = ConcurrentHashMap.newKeySet();
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> {
-            ran.add(got.id());
+        Set<String> delivered = ConcurrentHashMap.newKeySet();
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> {
+            delivered.add(request.id());
             return OK;
         });
         fixture.listDrainingEndpoint(2);
         fixture.start();
-        Set<String> taken = ConcurrentHashMap.newKeySet();
+        Set<String> accepted = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 5; i++) {
             assertEquals(fixture.submit("before" + i, "order", 2, 15_000), 202);
-            taken.add("before" + i);
+            accepted.add("before" + i);
         }
-        shim.failSystemCalls(fault, more);
-        int refused = handInSome("during", 40, taken);
-        assertTrue(fixture.process.isAlive(), "it ended: " + fixture.logLines());
-        assertTrue(refused >= 35, "taken on though nothing can be written: " + (40 - refused));
+        shim.failSystemCalls(fault, furtherFault);
+        int refused = submitSeveral("during", 40, accepted);
+        assertTrue(fixture.process.isAlive(), "the relay ended: " + fixture.logLines());
+        assertTrue(refused >= 35, "messages accepted although no record can be written: " + (40 - refused));
         shim.clearFaults();
-        waitUntil("it takes on again", 2_000, () -> fixture.submit("again", "order", 1, 15_000) == 202);
-        taken.add("again");
-        handInSome("after", 10, taken);
+        waitUntil("the relay accepts messages again", 2_000,
+            () -> fixture.submit("again", "order", 1, 15_000) == 202);
+        accepted.add("again");
+        submitSeveral("after", 10, accepted);
         fixture.kill();
-        endpoint.requests.forEach(got -> taken.add(got.id()));
-        RelayFixture.StubServer second = fixture.addEndpoint(2, got -> {
-            ran.add(got.id());
+        endpoint.requests.forEach(request -> accepted.add(request.id()));
+        RelayFixture.StubServer second = fixture.addEndpoint(2, request -> {
+            delivered.add(request.id());
             return OK;
         });
         fixture.start();
-        waitUntil("each that was taken on has its end", 8_000,
-            () -> taken.stream().allMatch(id -> ran.contains(id) || fixture.hasOutcomeNotice(id, "outcome")));
+        waitUntil("each accepted message has its outcome", 8_000,
+            () -> accepted.stream()
+                .allMatch(id -> delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome")));
         assertTrue(second.requests.size() >= 5);
         List<String> calls = Stream.concat(endpoint.requests.stream(), second.requests.stream())
             .map(RelayFixture.ReceivedRequest::id)
             .toList();
         assertEquals(calls.size(), Set.copyOf(calls).size(), "sent twice: " + calls);
-        assertTrue(taken.containsAll(calls), "sent though it was refused: " + calls);
+        assertTrue(accepted.containsAll(calls), "sent although its client was refused: " + calls);
     }
 
-    private int handInSome(String name, int count, Set<String> taken) throws IOException {
+    /**
+     * Submits messages one by one, adds the ids of the accepted ones to the set, and returns the number of
+     * refused ones.
+     */
+    private int submitSeveral(String name, int count, Set<String> accepted) throws IOException {
         int refused = 0;
         for (int i = 0; i < count; i++) {
             if (fixture.submit(name + i, "order", 1, 15_000) == 202) {
-                taken.add(name + i);
+                accepted.add(name + i);
             } else {
                 refused++;
             }
@@ -85,85 +99,102 @@
         return refused;
     }
 
+    /**
+     * Guards against an attempt that is sent before it is recorded: after a kill, the next process would
+     * send an at-most-once message again.
+     */
     @Test
-    public void anAttemptThatCannotBeWrittenDownDoesNotLeave() throws Exception {
+    public void attemptThatCannotBeRecordedIsNotSent() throws Exception {
         FaultShim shim = new FaultShim(fixture);
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> REFUSED);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> REFUSED);
         fixture.start();
         assertEquals(fixture.submit("m1", "order", 1, 15_000), 202);
-        waitUntil("refused once", 3_000, () -> !endpoint.requests.isEmpty());
+        waitUntil("the endpoint refused the first attempt", 3_000, () -> !endpoint.requests.isEmpty());
         shim.failSystemCalls("write=" + EIO);
-        endpoint.responder = got -> NO_RESPONSE;
+        endpoint.responder = request -> NO_RESPONSE;
         RelayFixture.pause(600);
         int attempts = endpoint.requests.size();
         RelayFixture.pause(800);
         assertEquals(endpoint.requests.size(), attempts);
         fixture.kill();
         shim.clearFaults();
-        endpoint.responder = got -> OK;
+        endpoint.responder = request -> OK;
         fixture.start();
-        waitUntil("it has its end", 5_000,
+        waitUntil("the message has its outcome", 5_000,
             () -> endpoint.requests.size() > attempts || fixture.hasOutcomeNotice("m1", "given_up"));
     }
 
+    /** Guards against a notice that is delayed until the folder can be written again. */
     @Test
-    public void anEndIsToldInTimeThoughItCannotBeWrittenDown() throws Exception {
+    public void outcomeIsReportedInTimeAlthoughItCannotBeRecorded() throws Exception {
         FaultShim shim = new FaultShim(fixture);
         fixture.listDrainingEndpoint(1);
         fixture.start();
         assertEquals(fixture.submit("m1", "order", 1, 1_000), 202);
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         shim.failSystemCalls("write=" + EIO);
-        waitUntil("told", 2_000, () -> fixture.hasOutcomeNotice("m1", "outcome"));
-        assertTrue(System.nanoTime() - from < 1_300_000_000L, "later than 0.3 s after its time");
+        waitUntil("the platform is notified", 2_000, () -> fixture.hasOutcomeNotice("m1", "outcome"));
+        assertTrue(System.nanoTime() - startNanos < 1_300_000_000L, "the notice was more than 0.3 s late");
     }
 
     @DataProvider
-    public Object[][] faultsAtTheStart() {
+    public Object[][] startFaults() {
         return new Object[][]{{"write=" + EIO}, {"open=" + ENOSPC}, {"rename=" + EIO}, {"read=" + EIO}};
     }
 
-    @Test(dataProvider = "faultsAtTheStart")
-    public void aStartWithADiskThatFailsForAWhileSucceeds(String fault) throws Exception {
+    /**
+     * Guards against a process that ends, or drops what it holds, because its folder fails at the start. It
+     * has to wait until the folder can be used again.
+     */
+    @Test(dataProvider = "startFaults")
+    public void startWaitsWhileTheFolderFails(String fault) throws Exception {
         FaultShim shim = new FaultShim(fixture);
         fixture.listDrainingEndpoint(1);
         fixture.start();
         assertEquals(fixture.submit("m1", "order", 1, 20_000), 202);
         fixture.kill();
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> OK);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
         shim.failSystemCalls(fault);
         fixture.startProcess();
         RelayFixture.pause(2_500);
         assertTrue(fixture.process.isAlive(),
-            "it ended with " + (fixture.process.isAlive() ? "" : exitCode()));
+            "the relay ended with " + (fixture.process.isAlive() ? "" : exitCode()));
         shim.clearFaults();
-        waitUntil("it is ready", 3_000, fixture::isReady);
-        waitUntil("what was held is delivered", 3_000, () -> endpoint.requests.size() == 1);
+        waitUntil("the relay is ready", 3_000, fixture::isReady);
+        waitUntil("the open message is delivered", 3_000, () -> endpoint.requests.size() == 1);
     }
 
     private int exitCode() {
         return fixture.process.exitValue();
     }
 
+    /**
+     * Guards against a start that fails on unexpected contents, such as another disk has: directories in
+     * place of the ledger's files, or a file that is no ledger. They count as empty.
+     */
     @Test
-    public void aDiskReplacedByOneWithOtherContentsIsTakenAsEmpty() throws Exception {
+    public void unexpectedContentsCountAsAnEmptyFolder() throws Exception {
         Path state = fixture.directory.resolve("state");
         for (String name : List.of("ledger", "ledger.next")) {
             Files.createDirectories(state.resolve(name).resolve("lost+found"));
         }
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> OK);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
         fixture.start();
         assertEquals(fixture.submit("m1", "order", 1, 5_000), 202);
-        waitUntil("delivered", 2_000, () -> endpoint.requests.size() == 1);
+        waitUntil("the message is delivered", 2_000, () -> endpoint.requests.size() == 1);
         fixture.kill();
         Files.write(state.resolve("ledger"), new byte[100_000]);
         fixture.start();
         assertEquals(fixture.submit("m2", "order", 1, 5_000), 202);
-        waitUntil("delivered", 2_000, () -> endpoint.requests.size() == 2);
+        waitUntil("the message is delivered", 2_000, () -> endpoint.requests.size() == 2);
     }
 
+    /**
+     * Guards against messages that are lost at the next restart because the folder was replaced by an empty
+     * one under a running relay, which went on writing to the old file.
+     */
     @Test
-    public void aFolderReplacedUnderARunningRelayHoldsAllAgain() throws Exception {
+    public void replacedFolderReceivesAllOpenMessages() throws Exception {
         fixture.listDrainingEndpoint(1);
         fixture.start();
         assertEquals(fixture.submit("m1", "order", 1, 15_000), 202);
@@ -173,24 +204,28 @@
         RelayFixture.pause(500);
         assertEquals(fixture.submit("m2", "order", 1, 15_000), 202);
         fixture.kill();
-        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, got -> OK);
+        RelayFixture.StubServer endpoint = fixture.addEndpoint(1, request -> OK);
         fixture.start();
-        waitUntil("both are delivered", 4_000, () -> endpoint.requests.size() == 2);
+        waitUntil("both messages are delivered", 4_000, () -> endpoint.requests.size() == 2);
     }
 
+    /** Guards against a stack trace or an endless wait where the configured folder is a file. */
     @Test
-    public void aFolderThatIsAFileEndsTheStartWithOneLine() throws Exception {
+    public void fileInPlaceOfTheFolderEndsTheStartWithOneLine() throws Exception {
         Files.writeString(fixture.directory.resolve("state"), "no folder");
         fixture.listDrainingEndpoint(1);
         fixture.startProcess();
-        assertTrue(fixture.process.waitFor(10, TimeUnit.SECONDS), "it goes on");
+        assertTrue(fixture.process.waitFor(10, TimeUnit.SECONDS), "the relay still runs");
         assertEquals(fixture.process.exitValue(), 2);
         assertEquals(fixture.logLines().stream().filter(line -> line.contains("state")).count(), 1,
             "" + fixture.logLines());
     }
 
+    /**
+     * Guards against a relay that runs out of direct memory when it writes or reads its ledger as a whole.
+     */
     @Test
-    public void aLogLargerThanTheDirectMemoryIsWrittenAndReadBack() throws Exception {
+    public void ledgerLargerThanTheDirectMemoryIsWrittenAndReadBack() throws Exception {
         fixture.extraLimits = ",\"disk_mb\":64";
         fixture.maxOpenMessages = 400;
         fixture.jvmFlags = List.of("-XX:MaxDirectMemorySize=4m");
--- a/relay/src/test/java/yewpath/StrayAnswerTest.java
+++ b/relay/src/test/java/yewpath/StrayAnswerTest.java
@@ -22,165 +22,199 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A second copy of an earlier answer comes while the next request on that connection is out. */
+/**
+ * A duplicate of an earlier response arrives on a connection while its next request is in progress. The
+ * relay must not take it for the response to that request.
+ */
 public final class StrayAnswerTest extends RelayFixture.RelayTest {
-    private static final String WAIT = "HTTP/1.1 429 X\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n";
-    private static final int MESSAGES = 30;
+    private static final String TOO_MANY_REQUESTS = "HTTP/1.1 429 X\r\nRetry-After: 0.2\r\n"
+        + "Content-Length: 0\r\n\r\n";
+    private static final int MESSAGE_COUNT = 30;
 
-    private final Map<Integer, String> lastAnswers = new ConcurrentHashMap<>();
+    private final Map<Integer, String> lastResponses = new ConcurrentHashMap<>();
 
     @BeforeMethod
-    public void forgetAnswers() {
-        lastAnswers.clear();
+    public void forgetResponses() {
+        lastResponses.clear();
     }
 
-    /** Where the connection has had an answer before, sends that once more and works on for a while. */
-    private void repeatLastAnswer(RelayFixture.StubServer server, RelayFixture.ReceivedRequest got,
-        int workMs) {
-        String earlier = lastAnswers.get(got.connectionNumber);
-        if (earlier != null) {
-            writeRaw(server, got, earlier);
-            RelayFixture.pause(workMs);
+    /**
+     * If the connection has had a response before, sends that again and then waits, as for the work on the
+     * request.
+     */
+    private void resendLastResponse(RelayFixture.StubServer server, RelayFixture.ReceivedRequest request,
+        int workMillis) {
+        String earlierResponse = lastResponses.get(request.connectionNumber);
+        if (earlierResponse != null) {
+            writeRaw(server, request, earlierResponse);
+            RelayFixture.pause(workMillis);
         }
     }
 
-    private String answer(RelayFixture.ReceivedRequest got, String bytes) {
-        lastAnswers.put(got.connectionNumber, bytes);
-        return bytes;
+    /** Remembers a response as the last one of its connection, and returns it. */
+    private String remember(RelayFixture.ReceivedRequest request, String response) {
+        lastResponses.put(request.connectionNumber, response);
+        return response;
     }
 
-    /** Of what runs: a message is read and answered with 200, whoever hears that. */
-    private void handInAll(String offering, RelayFixture.StubServer server, Set<String> over)
+    /**
+     * Submits all messages and waits until each has its outcome. The set holds the ids of the messages that
+     * the endpoint has executed.
+     */
+    private void submitAll(String messageClass, RelayFixture.StubServer server, Set<String> executed)
         throws Exception {
-        for (int i = 0; i < MESSAGES; i++) {
-            assertEquals(fixture.submit("m" + i, offering, 1, 5_000), 202);
+        for (int i = 0; i < MESSAGE_COUNT; i++) {
+            assertEquals(fixture.submit("m" + i, messageClass, 1, 5_000), 202);
             RelayFixture.pause(15);
         }
-        waitUntil("each has its end", 8_000, () -> over.size() + fixture.notices.size() >= MESSAGES
-            && fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
-        assertTrue(server.requests.size() >= MESSAGES);
+        waitUntil("each message has its outcome", 8_000,
+            () -> executed.size() + fixture.notices.size() >= MESSAGE_COUNT
+                && fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
+        assertTrue(server.requests.size() >= MESSAGE_COUNT);
     }
 
-    /** Answers that are all the same bytes, and such of which each has its own. */
+    /** Successful responses that all have the same bytes, and ones that each have a body of their own. */
     @DataProvider
-    public Object[][] successes() {
-        Supplier<String> alike = () -> OK;
+    public Object[][] successResponses() {
+        Supplier<String> identical = () -> OK;
         Supplier<String> distinct = RelayFixture::uniqueOk;
-        return new Object[][]{{alike}, {distinct}};
+        return new Object[][]{{identical}, {distinct}};
     }
 
-    @Test(dataProvider = "successes")
-    public void aCopyOfARefusalDoesNotSendAnOnceOnlyMessageAgain(Supplier<String> success) throws Exception {
-        List<String> ran = new ArrayList<>();
-        Set<String> over = ConcurrentHashMap.newKeySet();
+    /**
+     * Guards against an at-most-once message that is sent again because a duplicate of an earlier refusal is
+     * taken for its response, while the endpoint executes it.
+     */
+    @Test(dataProvider = "successResponses")
+    public void duplicateOfARefusalRepeatsNoAtMostOnceMessage(Supplier<String> success) throws Exception {
+        List<String> executions = new ArrayList<>();
+        Set<String> executed = ConcurrentHashMap.newKeySet();
         RelayFixture.StubServer[] server = {null};
-        server[0] = fixture.addEndpoint(1, got -> {
-            boolean refuses = !lastAnswers.containsKey(got.connectionNumber)
+        server[0] = fixture.addEndpoint(1, request -> {
+            boolean isRefused = !lastResponses.containsKey(request.connectionNumber)
                 && server[0].postRequests().size() % 4 == 1;
-            if (refuses) {
-                return answer(got, SERVICE_UNAVAILABLE);
+            if (isRefused) {
+                return remember(request, SERVICE_UNAVAILABLE);
             }
-            synchronized (ran) {
-                ran.add(got.id());
+            synchronized (executions) {
+                executions.add(request.id());
             }
-            over.add(got.id());
-            repeatLastAnswer(server[0], got, 100);
-            return answer(got, success.get());
+            executed.add(request.id());
+            resendLastResponse(server[0], request, 100);
+            return remember(request, success.get());
         });
         fixture.start();
-        handInAll("order", server[0], over);
-        assertEquals(ran.size(), Set.copyOf(ran).size(), "run more than once: " + ran);
+        submitAll("order", server[0], executed);
+        assertEquals(executions.size(), Set.copyOf(executions).size(),
+            "executed more than once: " + executions);
     }
 
-    @Test(dataProvider = "successes")
-    public void aCopyOfASuccessDoesNotEndAMessageThatWasRefused(Supplier<String> success) throws Exception {
+    /**
+     * Guards against a message that is lost because a duplicate of an earlier success is taken for its
+     * response, while the endpoint refuses it.
+     */
+    @Test(dataProvider = "successResponses")
+    public void duplicateOfASuccessDoesNotCompleteARefusedMessage(Supplier<String> success) throws Exception {
         Set<String> delivered = ConcurrentHashMap.newKeySet();
         RelayFixture.StubServer[] server = {null};
-        server[0] = fixture.addEndpoint(1, got -> {
-            if (lastAnswers.containsKey(got.connectionNumber)) {
-                repeatLastAnswer(server[0], got, 60);
-                return WAIT;
+        server[0] = fixture.addEndpoint(1, request -> {
+            if (lastResponses.containsKey(request.connectionNumber)) {
+                resendLastResponse(server[0], request, 60);
+                return TOO_MANY_REQUESTS;
             }
-            delivered.add(got.id());
-            return answer(got, success.get());
+            delivered.add(request.id());
+            return remember(request, success.get());
         });
         fixture.start();
-        for (int i = 0; i < MESSAGES; i++) {
+        for (int i = 0; i < MESSAGE_COUNT; i++) {
             assertEquals(fixture.submit("m" + i, "status", 1, 3_000), 202);
             RelayFixture.pause(15);
         }
-        waitUntil("nothing is held any more", 6_000,
+        waitUntil("no message is open and no notice unacknowledged", 6_000,
             () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
-        for (int i = 0; i < MESSAGES; i++) {
+        for (int i = 0; i < MESSAGE_COUNT; i++) {
             String id = "m" + i;
-            assertTrue(delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome"), id + " is lost");
+            assertTrue(delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome"),
+                id + " has no outcome");
         }
     }
 
+    /**
+     * Guards against two attempts of one message at the same time: a duplicate is taken for the response to
+     * a batch whose call is still in progress, and its messages are sent again.
+     */
     @Test
-    public void aCopyInCallsOfSeveralLeavesNoTwoAttemptsOut() throws Exception {
-        Map<String, Integer> out = new ConcurrentHashMap<>();
-        List<String> twice = new ArrayList<>();
+    public void duplicateDuringABatchStartsNoConcurrentAttempt() throws Exception {
+        Map<String, Integer> inProgress = new ConcurrentHashMap<>();
+        List<String> concurrent = new ArrayList<>();
         Set<String> delivered = ConcurrentHashMap.newKeySet();
         RelayFixture.StubServer[] server = {null};
-        server[0] = fixture.addEndpoint("e1", 1, "bundled", got -> {
-            List<String> ids = messageIds(got);
+        server[0] = fixture.addEndpoint("e1", 1, "bundled", request -> {
+            List<String> ids = messageIds(request);
             for (String id : ids) {
-                if (out.merge(id, 1, Integer::sum) > 1) {
-                    twice.add(id);
+                if (inProgress.merge(id, 1, Integer::sum) > 1) {
+                    concurrent.add(id);
                 }
             }
-            boolean strays = server[0].postRequests().size() % 3 == 0
-                && lastAnswers.containsKey(got.connectionNumber);
-            if (strays) {
-                writeRaw(server[0], got, lastAnswers.get(got.connectionNumber));
+            boolean sendsDuplicate = server[0].postRequests().size() % 3 == 0
+                && lastResponses.containsKey(request.connectionNumber);
+            if (sendsDuplicate) {
+                writeRaw(server[0], request, lastResponses.get(request.connectionNumber));
             }
-            boolean open = staysOpen(server[0], got, 300);
-            ids.forEach(id -> out.merge(id, -1, Integer::sum));
+            boolean open = staysOpen(server[0], request, 300);
+            ids.forEach(id -> inProgress.merge(id, -1, Integer::sum));
             if (!open) {
                 return RelayFixture.CLOSE_CONNECTION;
             }
             delivered.addAll(ids);
-            return answer(got, ids.size() == 1 && !got.requestLine.contains("bulk") ? OK
+            return remember(request, ids.size() == 1 && !request.requestLine.contains("bulk") ? OK
                 : bulkResponse(ids.stream().collect(Collectors.toMap(id -> id, id -> "done"))));
         });
         fixture.start();
-        for (int i = 0; i < 2 * MESSAGES; i++) {
+        for (int i = 0; i < 2 * MESSAGE_COUNT; i++) {
             assertEquals(fixture.submit("m" + i, "status", 1, 6_000), 202);
             RelayFixture.pause(15);
         }
-        waitUntil("all delivered", 8_000, () -> delivered.size() == 2 * MESSAGES);
-        assertEquals(twice, List.of(), "out twice at once");
+        waitUntil("all messages are delivered", 8_000, () -> delivered.size() == 2 * MESSAGE_COUNT);
+        assertEquals(concurrent, List.of(), "two attempts at the same time");
     }
 
+    /**
+     * Guards against a notice that is lost because a duplicate of an earlier acknowledgement is taken for
+     * the response to it, while the platform rejects it.
+     */
     @Test
-    public void aCopyOfAnAcknowledgementDoesNotSwallowANotice() throws Exception {
-        String heard = "HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n";
-        String unheard = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n";
+    public void duplicateOfAnAcknowledgementDropsNoNotice() throws Exception {
+        String noContent = "HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n";
+        String serverError = "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n";
         Set<String> acknowledged = ConcurrentHashMap.newKeySet();
-        fixture.addEndpoint(1, got -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        fixture.noticeResponder = got -> {
-            if (lastAnswers.containsKey(got.connectionNumber)) {
-                repeatLastAnswer(fixture.discovery, got, 60);
-                return unheard;
+        fixture.addEndpoint(1, request -> "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+        fixture.noticeResponder = request -> {
+            if (lastResponses.containsKey(request.connectionNumber)) {
+                resendLastResponse(fixture.discovery, request, 60);
+                return serverError;
             }
-            acknowledged.add(got.body);
-            return answer(got, heard);
+            acknowledged.add(request.body);
+            return remember(request, noContent);
         };
         fixture.start();
         for (int i = 0; i < 10; i++) {
             assertEquals(fixture.submit("n" + i, "order", 1, 3_000), 202);
             RelayFixture.pause(40);
         }
-        waitUntil("none is owed any more", 5_000,
+        waitUntil("no message is open and no notice unacknowledged", 5_000,
             () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
         for (int i = 0; i < 10; i++) {
             String id = '"' + "n" + i + '"';
-            assertTrue(acknowledged.stream().anyMatch(body -> body.contains(id)), id + " was never heard");
+            assertTrue(acknowledged.stream().anyMatch(body -> body.contains(id)),
+                id + " was never acknowledged");
         }
     }
 
-    /** As many as {@code -Dstray.seeds} asks for, from {@code -Dstray.first} on; every second one with calls of several messages. */
+    /**
+     * {@code -Dstray.seeds} seeds from {@code -Dstray.first} on; every second one is played with calls of
+     * several messages.
+     */
     @DataProvider
     public Object[][] seeds() {
         return LongStream.range(0, Long.getLong("stray.seeds", 5))
@@ -189,24 +223,27 @@
             .toArray(Object[][]::new);
     }
 
-    /** Copies of any earlier answer on the connection, ahead of the true one, in the middle of the work or behind it. */
+    /**
+     * Guards against the same errors with duplicates of any earlier response on the connection, which come
+     * before, during or after the work on a request, as drawn from the seed.
+     */
     @Test(dataProvider = "seeds")
-    public void copiesAtAnyTimeBreakNoRule(long seed, String kind) throws Exception {
+    public void duplicatesAtAnyTimeViolateNoRule(long seed, String kind) throws Exception {
         fixture.maxOpenMessages = 200;
         MessageRules rules = new MessageRules();
         CopyingEndpoint.addTo(fixture, "e1", 1, kind, seed, rules);
         fixture.start();
-        for (int i = 0; i < 2 * MESSAGES; i++) {
+        for (int i = 0; i < 2 * MESSAGE_COUNT; i++) {
             assertEquals(fixture.submit("m" + i, i % 2 == 0 ? "order" : "status", 1, 3_000), 202);
             RelayFixture.pause(10);
         }
-        waitUntil("nothing is held any more", 8_000,
+        waitUntil("no message is open and no notice unacknowledged", 8_000,
             () -> fixture.statistic("open") == 0 && fixture.statistic("notices_owed") == 0);
         assertEquals(rules.violations, List.of());
-        for (int i = 0; i < 2 * MESSAGES; i++) {
+        for (int i = 0; i < 2 * MESSAGE_COUNT; i++) {
             String id = "m" + i;
             assertTrue(rules.delivered.contains(id) || fixture.hasOutcomeNotice(id, "outcome"),
-                id + " is lost");
+                id + " has no outcome");
         }
     }
 }
