--- a/relay/src/test/native/fault_shim.c
+++ b/relay/src/test/native/fault_shim.c
@@ -1,11 +1,13 @@
 /*
- * Makes system calls of one process fail, and steps its wall clock, for tests. Loaded by LD_PRELOAD. What is to happen
- * stands in the file named by FAULT_CONTROL, one "name=value" a line, read anew at each call:
+ * Fault injection library for tests, loaded with LD_PRELOAD. It makes selected system calls of one process fail and
+ * offsets that process's wall clock. The environment variable FAULT_CONTROL names the control file, which holds one
+ * "name=value" setting per line and is read again on every intercepted call, so a test can change the faults while
+ * the process runs:
  *
- *   folder=PATH        calls on files below it are the ones that fail
- *   open|read|write|rename|truncate=ERRNO   the number with which such a call fails; "open" only when it would write
- *   partial=1          a write that fails takes half of its bytes first
- *   wall_step=SECONDS  what is added to CLOCK_REALTIME
+ *   folder=PATH        Only calls on files whose path starts with PATH fail.
+ *   open|read|write|rename|truncate=ERRNO   The call fails with this errno. "open" fails only when opening for writing.
+ *   partial=1          A failing write first writes half of its bytes.
+ *   wall_step=SECONDS  This offset is added to CLOCK_REALTIME and gettimeofday.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -24,6 +26,10 @@
 
 #define CONTROL_BYTES 4096
 
+/*
+ * Reads the control file into a buffer of CONTROL_BYTES; returns 0 if there is no readable content. It uses raw system
+ * calls because the libc functions are intercepted here.
+ */
 static int read_control(char *text) {
     const char *path = getenv("FAULT_CONTROL");
     if (path == NULL) {
@@ -39,8 +45,8 @@
     return length > 0;
 }
 
-/* Copies the value of a name; 0 where the control file has none. */
-static int value_of(const char *text, const char *name, char *value, size_t size) {
+/* Copies the value of a setting into value; returns 0 if the control text does not contain the setting. */
+static int copy_setting(const char *text, const char *name, char *value, size_t size) {
     size_t length = strlen(name);
     for (const char *line = text; line != NULL && *line != '\0';) {
         const char *end = strchr(line, '\n');
@@ -54,80 +60,86 @@
     return 0;
 }
 
-static long number_of(const char *text, const char *name) {
+/* Returns a setting as a number, or 0 if the control text does not contain it. */
+static long numeric_setting(const char *text, const char *name) {
     char value[64];
-    return value_of(text, name, value, sizeof value) ? strtol(value, NULL, 10) : 0;
+    return copy_setting(text, name, value, sizeof value) ? strtol(value, NULL, 10) : 0;
 }
 
-static int is_below(const char *text, const char *path) {
+/* Reports whether the path starts with the "folder" setting. */
+static int is_in_faulty_folder(const char *text, const char *path) {
     char folder[PATH_MAX];
-    return value_of(text, "folder", folder, sizeof folder) && strncmp(path, folder, strlen(folder)) == 0;
+    return copy_setting(text, "folder", folder, sizeof folder) && strncmp(path, folder, strlen(folder)) == 0;
 }
 
-/* The errno with which this call on a path is to fail, or 0. */
-static int fault_at(const char *call, const char *path) {
+/* Returns the errno with which the call on this path must fail, or 0 if it must not fail. */
+static int fault_for_path(const char *call, const char *path) {
     char text[CONTROL_BYTES];
-    if (path == NULL || !read_control(text) || !is_below(text, path)) {
+    if (path == NULL || !read_control(text) || !is_in_faulty_folder(text, path)) {
         return 0;
     }
-    return (int) number_of(text, call);
+    return (int) numeric_setting(text, call);
 }
 
-static int fault_on(const char *call, int fd, int *partial) {
+/*
+ * Returns the errno with which the call on this file descriptor must fail, or 0 if it must not fail. For a failing
+ * call, also stores the "partial" setting if partial is not NULL.
+ */
+static int fault_for_fd(const char *call, int fd, int *partial) {
     char text[CONTROL_BYTES];
-    char link[64];
+    char fd_link[64];
     char path[PATH_MAX];
-    if (!read_control(text) || number_of(text, call) == 0) {
+    if (!read_control(text) || numeric_setting(text, call) == 0) {
         return 0;
     }
-    snprintf(link, sizeof link, "/proc/self/fd/%d", fd);
-    long length = syscall(SYS_readlinkat, AT_FDCWD, link, path, sizeof path - 1);
+    snprintf(fd_link, sizeof fd_link, "/proc/self/fd/%d", fd);
+    long length = syscall(SYS_readlinkat, AT_FDCWD, fd_link, path, sizeof path - 1);
     if (length <= 0) {
         return 0;
     }
     path[length] = '\0';
-    if (!is_below(text, path)) {
+    if (!is_in_faulty_folder(text, path)) {
         return 0;
     }
     if (partial != NULL) {
-        *partial = number_of(text, "partial") != 0;
+        *partial = numeric_setting(text, "partial") != 0;
     }
-    return (int) number_of(text, call);
+    return (int) numeric_setting(text, call);
 }
 
-static int fail(int error) {
+static int fail_with(int error) {
     errno = error;
     return -1;
 }
 
-static int open_at(int at, const char *path, int flags, int mode) {
-    int error = (flags & O_ACCMODE) != O_RDONLY ? fault_at("open", path) : 0;
+static int open_file_at(int directory_fd, const char *path, int flags, int mode) {
+    int error = (flags & O_ACCMODE) != O_RDONLY ? fault_for_path("open", path) : 0;
     if (error != 0) {
-        return fail(error);
+        return fail_with(error);
     }
-    return (int) syscall(SYS_openat, at, path, flags, mode);
+    return (int) syscall(SYS_openat, directory_fd, path, flags, mode);
 }
 
-static int mode_of(int flags, va_list rest) {
-    return (flags & (O_CREAT | O_TMPFILE)) != 0 ? va_arg(rest, int) : 0;
+static int read_mode(int flags, va_list arguments) {
+    return (flags & (O_CREAT | O_TMPFILE)) != 0 ? va_arg(arguments, int) : 0;
 }
 
 #define DEFINE_OPEN(name) \
     int name(const char *path, int flags, ...) { \
-        va_list rest; \
-        va_start(rest, flags); \
-        int mode = mode_of(flags, rest); \
-        va_end(rest); \
-        return open_at(AT_FDCWD, path, flags, mode); \
+        va_list arguments; \
+        va_start(arguments, flags); \
+        int mode = read_mode(flags, arguments); \
+        va_end(arguments); \
+        return open_file_at(AT_FDCWD, path, flags, mode); \
     }
 
 #define DEFINE_OPENAT(name) \
-    int name(int at, const char *path, int flags, ...) { \
-        va_list rest; \
-        va_start(rest, flags); \
-        int mode = mode_of(flags, rest); \
-        va_end(rest); \
-        return open_at(at, path, flags, mode); \
+    int name(int directory_fd, const char *path, int flags, ...) { \
+        va_list arguments; \
+        va_start(arguments, flags); \
+        int mode = read_mode(flags, arguments); \
+        va_end(arguments); \
+        return open_file_at(directory_fd, path, flags, mode); \
     }
 
 DEFINE_OPEN(open)
@@ -137,59 +149,60 @@
 
 ssize_t write(int fd, const void *bytes, size_t count) {
     int partial = 0;
-    int error = fault_on("write", fd, &partial);
+    int error = fault_for_fd("write", fd, &partial);
     if (error != 0) {
         if (partial) {
             syscall(SYS_write, fd, bytes, count / 2);
         }
-        return fail(error);
+        return fail_with(error);
     }
     return syscall(SYS_write, fd, bytes, count);
 }
 
-static ssize_t write_at(int fd, const void *bytes, size_t count, off64_t at) {
+static ssize_t write_at(int fd, const void *bytes, size_t count, off64_t offset) {
     int partial = 0;
-    int error = fault_on("write", fd, &partial);
+    int error = fault_for_fd("write", fd, &partial);
     if (error != 0) {
         if (partial) {
-            syscall(SYS_pwrite64, fd, bytes, count / 2, at);
+            syscall(SYS_pwrite64, fd, bytes, count / 2, offset);
         }
-        return fail(error);
+        return fail_with(error);
     }
-    return syscall(SYS_pwrite64, fd, bytes, count, at);
+    return syscall(SYS_pwrite64, fd, bytes, count, offset);
 }
 
-ssize_t pwrite(int fd, const void *bytes, size_t count, off_t at) {
-    return write_at(fd, bytes, count, at);
+ssize_t pwrite(int fd, const void *bytes, size_t count, off_t offset) {
+    return write_at(fd, bytes, count, offset);
 }
 
-ssize_t pwrite64(int fd, const void *bytes, size_t count, off64_t at) {
-    return write_at(fd, bytes, count, at);
+ssize_t pwrite64(int fd, const void *bytes, size_t count, off64_t offset) {
+    return write_at(fd, bytes, count, offset);
 }
 
 ssize_t read(int fd, void *bytes, size_t count) {
-    int error = fault_on("read", fd, NULL);
-    return error != 0 ? fail(error) : syscall(SYS_read, fd, bytes, count);
+    int error = fault_for_fd("read", fd, NULL);
+    return error != 0 ? fail_with(error) : syscall(SYS_read, fd, bytes, count);
 }
 
-ssize_t pread64(int fd, void *bytes, size_t count, off64_t at) {
-    int error = fault_on("read", fd, NULL);
-    return error != 0 ? fail(error) : syscall(SYS_pread64, fd, bytes, count, at);
+ssize_t pread64(int fd, void *bytes, size_t count, off64_t offset) {
+    int error = fault_for_fd("read", fd, NULL);
+    return error != 0 ? fail_with(error) : syscall(SYS_pread64, fd, bytes, count, offset);
 }
 
 int ftruncate64(int fd, off64_t length) {
-    int error = fault_on("truncate", fd, NULL);
-    return error != 0 ? fail(error) : (int) syscall(SYS_ftruncate, fd, length);
+    int error = fault_for_fd("truncate", fd, NULL);
+    return error != 0 ? fail_with(error) : (int) syscall(SYS_ftruncate, fd, length);
 }
 
 int rename(const char *from, const char *to) {
-    int error = fault_at("rename", from);
-    return error != 0 ? fail(error) : (int) syscall(SYS_renameat2, AT_FDCWD, from, AT_FDCWD, to, 0);
+    int error = fault_for_path("rename", from);
+    return error != 0 ? fail_with(error) : (int) syscall(SYS_renameat2, AT_FDCWD, from, AT_FDCWD, to, 0);
 }
 
+/* Returns the offset of the wall clock in seconds. */
 static long wall_step(void) {
     char text[CONTROL_BYTES];
-    return read_control(text) ? number_of(text, "wall_step") : 0;
+    return read_control(text) ? numeric_setting(text, "wall_step") : 0;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
